--- a/src/api/ancestor_check.cpp
+++ b/src/api/ancestor_check.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "api/timeouts.hpp"
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
 namespace dunebridge::api {
 
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxChecks = 64;
 }  // namespace
 
-AncestorCheck::AncestorCheck(core::Port& port, state::Store& store, const core::Config& config,
+AncestorCheck::AncestorCheck(sansio::Port& port, kv::Store& store, const config::Config& config,
                              TokenBucket& reads, Done done)
     : port_(port), store_(store), config_(config), reads_(reads), done_(std::move(done)) {}
 
@@ -54,26 +54,25 @@
     const auto count = std::min(left.size(), store_.max_preconditions());
     std::vector<wire::Precondition> preconditions;
     for (auto id = left.end() - static_cast<std::ptrdiff_t>(count); id != left.end(); ++id) {
-        preconditions.push_back({state::end_key(*id), KeyRev()});
+        preconditions.push_back({kv::end_key(*id), KeyRev()});
     }
-    store_.transact(preconditions, {}, kReadTimeout,
-                    [this, job, count](const state::TransactionResult& result) {
-                        stepped(job, count, result);
-                    });
+    store_.transact(
+        preconditions, {}, kReadTimeout,
+        [this, job, count](const kv::TransactionResult& result) { stepped(job, count, result); });
 }
 
 void AncestorCheck::stepped(const JobId& job, std::size_t checked,
-                            const state::TransactionResult& result) {
+                            const kv::TransactionResult& result) {
     const auto it = checks_.find(job);
     if (it == checks_.end()) return;
-    if (result.outcome == state::Outcome::ok) {
+    if (result.outcome == kv::Outcome::ok) {
         it->second.left.resize(it->second.left.size() - checked);
         next_step(job);
-    } else if (result.outcome == state::Outcome::conflict) {
+    } else if (result.outcome == kv::Outcome::conflict) {
         std::vector<JobId> ended;
         ended.reserve(result.failed.size());
         for (const auto& key : result.failed)
-            ended.emplace_back(state::without_prefix(key, state::kEnds));
+            ended.emplace_back(kv::without_prefix(key, kv::kEnds));
         finish(job, Outcome::some_ended, ended);
     } else {
         finish(job, Outcome::unavailable, {});
--- a/src/api/ancestor_check.hpp
+++ b/src/api/ancestor_check.hpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "base/token_bucket.hpp"
-#include "core/config.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "config/config.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
 
 namespace dunebridge::api {
 
@@ -24,7 +24,7 @@
     using Done = std::function<void(const JobId& job, Outcome, const std::vector<JobId>& ended)>;
 
     // Takes its requests from the budget, which the caller shares.
-    AncestorCheck(core::Port& port, state::Store& store, const core::Config& config,
+    AncestorCheck(sansio::Port& port, kv::Store& store, const config::Config& config,
                   TokenBucket& reads, Done done);
 
     // Whether a check of the job that found none ended is recent enough.
@@ -39,14 +39,14 @@
     };
 
     void next_step(const JobId& job);
-    void stepped(const JobId& job, std::size_t checked, const state::TransactionResult& result);
+    void stepped(const JobId& job, std::size_t checked, const kv::TransactionResult& result);
     void finish(const JobId& job, Outcome outcome, const std::vector<JobId>& ended);
     void forget_old();
     Millis fresh_for() const;
 
-    core::Port& port_;
-    state::Store& store_;
-    const core::Config& config_;
+    sansio::Port& port_;
+    kv::Store& store_;
+    const config::Config& config_;
     TokenBucket& reads_;
     Done done_;
     std::map<JobId, Check> checks_;
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -4,8 +4,8 @@
 #include <utility>
 
 #include "api/timeouts.hpp"
-#include "state/keys.hpp"
-#include "state/records.hpp"
+#include "kv/keys.hpp"
+#include "kv/records.hpp"
 
 namespace dunebridge::api {
 
@@ -20,7 +20,7 @@
 }
 }  // namespace
 
-DependencyLookup::DependencyLookup(core::Port& port, state::Store& store, JobCache& cache)
+DependencyLookup::DependencyLookup(sansio::Port& port, kv::Store& store, JobCache& cache)
     : port_(port), store_(store), cache_(cache) {}
 
 void DependencyLookup::start(const std::vector<JobId>& dependencies, Instant deadline, Done done) {
@@ -34,8 +34,8 @@
 }
 
 void DependencyLookup::read_jobs(const Shared& lookup) {
-    store_.get_many(state::kJobs, lookup->unread, kReadTimeout,
-                    [this, lookup](const state::RowsResult& rows) {
+    store_.get_many(kv::kJobs, lookup->unread, kReadTimeout,
+                    [this, lookup](const kv::RowsResult& rows) {
                         if (!rows.answered || too_late(*lookup)) {
                             finish(lookup, Outcome::unavailable);
                         } else {
@@ -44,21 +44,21 @@
                     });
 }
 
-void DependencyLookup::take_jobs(const Shared& lookup, const state::RowsResult& rows) {
+void DependencyLookup::take_jobs(const Shared& lookup, const kv::RowsResult& rows) {
     auto& ancestors = lookup->result.ancestors;
     for (const auto& id : lookup->unread) {
-        const auto row = rows.rows.find(state::kJobs + id);
+        const auto row = rows.rows.find(kv::kJobs + id);
         if (row == rows.rows.end()) {
             lookup->without_job.push_back(id);
             continue;
         }
         ancestors.emplace_back(id);
         try {
-            const auto job = state::decode_job_record(row->second.value);
+            const auto job = kv::decode_job_record(row->second.value);
             ancestors.insert(ancestors.end(), job.ancestors.begin(), job.ancestors.end());
             if (job.dependency_parts > 0) lookup->with_parts.emplace_back(id);
         } catch (const wire::DecodeError& e) {
-            port_.log(core::LogLevel::error, "event=bad_record key={} error=\"{}\"",
+            port_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"",
                       row->second.key, e.what());
             finish(lookup, Outcome::unavailable);
             return;
@@ -69,8 +69,8 @@
 
 // A job's record goes only after its end is there: one that has neither was never accepted.
 void DependencyLookup::read_ends(const Shared& lookup) {
-    store_.get_many(state::kEnds, lookup->without_job, kReadTimeout,
-                    [this, lookup](const state::RowsResult& rows) {
+    store_.get_many(kv::kEnds, lookup->without_job, kReadTimeout,
+                    [this, lookup](const kv::RowsResult& rows) {
                         if (!rows.answered || too_late(*lookup)) {
                             finish(lookup, Outcome::unavailable);
                         } else if (!take_ends(*lookup, rows)) {
@@ -82,11 +82,11 @@
 }
 
 // False if some job has no end.
-bool DependencyLookup::take_ends(Lookup& lookup, const state::RowsResult& rows) {
+bool DependencyLookup::take_ends(Lookup& lookup, const kv::RowsResult& rows) {
     for (const auto& id : lookup.without_job) {
-        const auto row = rows.rows.find(state::kEnds + id);
+        const auto row = rows.rows.find(kv::kEnds + id);
         if (row == rows.rows.end()) return false;
-        const auto end = state::decode_end(row->second.value);
+        const auto end = kv::decode_end(row->second.value);
         if (end.done()) {
             const JobId job(id);
             cache_.set_end(job, {job, JobPhase::done, end.tasks.value_or(0), 0});
@@ -104,7 +104,7 @@
     }
     const auto job = lookup->with_parts.back();
     lookup->with_parts.pop_back();
-    store_.list(state::dependency_prefix(job), [this, lookup](const state::ListResult& parts) {
+    store_.list(kv::dependency_prefix(job), [this, lookup](const kv::ListResult& parts) {
         if (!parts.answered || too_late(*lookup)) {
             finish(lookup, Outcome::unavailable);
             return;
@@ -115,7 +115,7 @@
             ancestors.insert(ancestors.end(), jobs.begin(), jobs.end());
             read_parts(lookup);
         } catch (const wire::DecodeError& e) {
-            port_.log(core::LogLevel::error, "event=bad_record key={} error=\"{}\"",
+            port_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"",
                       parts.rows.front().key, e.what());
             finish(lookup, Outcome::unavailable);
         }
@@ -130,10 +130,10 @@
     lookup->done(lookup->result);
 }
 
-std::vector<JobId> jobs_in_parts(const std::vector<state::Row>& parts) {
+std::vector<JobId> jobs_in_parts(const std::vector<kv::Row>& parts) {
     std::vector<JobId> jobs;
     for (const auto& row : parts) {
-        const auto part = state::decode_dependency_part(row.value);
+        const auto part = kv::decode_dependency_part(row.value);
         jobs.insert(jobs.end(), part.jobs.begin(), part.jobs.end());
     }
     sort_unique(jobs);
--- a/src/api/dependency_lookup.hpp
+++ b/src/api/dependency_lookup.hpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "api/job_cache.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
 
 namespace dunebridge::api {
 
@@ -29,7 +29,7 @@
   public:
     using Done = std::function<void(const DependencyResult&)>;
 
-    DependencyLookup(core::Port& port, state::Store& store, JobCache& cache);
+    DependencyLookup(sansio::Port& port, kv::Store& store, JobCache& cache);
 
     // Gives up at the deadline.
     void start(const std::vector<JobId>& dependencies, Instant deadline, Done done);
@@ -47,19 +47,19 @@
     using Shared = std::shared_ptr<Lookup>;
 
     void read_jobs(const Shared& lookup);
-    void take_jobs(const Shared& lookup, const state::RowsResult& rows);
+    void take_jobs(const Shared& lookup, const kv::RowsResult& rows);
     void read_ends(const Shared& lookup);
-    bool take_ends(Lookup& lookup, const state::RowsResult& rows);
+    bool take_ends(Lookup& lookup, const kv::RowsResult& rows);
     void read_parts(const Shared& lookup);
     void finish(const Shared& lookup, DependencyResult::Outcome outcome);
     bool too_late(const Lookup& lookup) const { return port_.now() > lookup.deadline; }
 
-    core::Port& port_;
-    state::Store& store_;
+    sansio::Port& port_;
+    kv::Store& store_;
     JobCache& cache_;
 };
 
 // The jobs named by the parts of a job's dependency records. Throws wire::DecodeError.
-std::vector<JobId> jobs_in_parts(const std::vector<state::Row>& parts);
+std::vector<JobId> jobs_in_parts(const std::vector<kv::Row>& parts);
 
 }  // namespace dunebridge::api
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -5,12 +5,12 @@
 
 #include "api/dependency_lookup.hpp"
 #include "api/timeouts.hpp"
-#include "state/keys.hpp"
-#include "state/records.hpp"
+#include "kv/keys.hpp"
+#include "kv/records.hpp"
 
 namespace dunebridge::api {
 
-using core::LogLevel;
+using sansio::LogLevel;
 using Kind = JobLookupResult::Kind;
 
 void JobLookup::start(PendingRequest pending, Stage stage) {
@@ -44,8 +44,8 @@
 
 void JobLookup::send(const JobId& job) {
     const bool end = lookups_.at(job).stage == Stage::end;
-    const auto key = end ? state::end_key(job) : state::job_key(job);
-    store_.get(key, kReadTimeout, [this, job, end](const state::GetResult& result) {
+    const auto key = end ? kv::end_key(job) : kv::job_key(job);
+    store_.get(key, kReadTimeout, [this, job, end](const kv::GetResult& result) {
         if (!result.answered) {
             finish(job, Kind::unavailable);
         } else if (end) {
@@ -56,17 +56,17 @@
     });
 }
 
-void JobLookup::end_read(const JobId& job, const state::GetResult& result) {
+void JobLookup::end_read(const JobId& job, const kv::GetResult& result) {
     if (!result.row) {
         lookups_.at(job).stage = Stage::record;
         queue_.push_front(job);
         return;
     }
-    const auto end = state::decode_end(result.row->value);
+    const auto end = kv::decode_end(result.row->value);
     finish(job, Kind::ended, {job, end.phase, end.done() ? end.tasks.value_or(0) : 0, 0});
 }
 
-void JobLookup::record_read(const JobId& job, const state::GetResult& result) {
+void JobLookup::record_read(const JobId& job, const kv::GetResult& result) {
     if (!result.row) {
         cache_.set_record(job, KeyRev());
         cache_.set_ancestors(job, {});
@@ -74,7 +74,7 @@
         return;
     }
     try {
-        const auto record = state::decode_job_record(result.row->value);
+        const auto record = kv::decode_job_record(result.row->value);
         cache_.set_record(job, result.row->rev);
         if (record.dependency_parts > 0) {
             read_parts(job, record.dependency_parts);
@@ -90,22 +90,21 @@
 
 // They were created with the job's record; some are missing only once the job is over.
 void JobLookup::read_parts(const JobId& job, std::uint64_t expected) {
-    store_.list(state::dependency_prefix(job),
-                [this, job, expected](const state::ListResult& parts) {
-                    if (!parts.answered || parts.rows.size() != expected) {
-                        cache_.set_record(job, KeyRev());  // it is read again next time
-                        finish(job, Kind::unavailable);
-                        return;
-                    }
-                    try {
-                        cache_.set_ancestors(job, jobs_in_parts(parts.rows));
-                    } catch (const wire::DecodeError& e) {
-                        cache_.set_record(job, KeyRev());
-                        bad_record(job, parts.rows.front().key, e.what());
-                        return;
-                    }
-                    finish(job, Kind::known);
-                });
+    store_.list(kv::dependency_prefix(job), [this, job, expected](const kv::ListResult& parts) {
+        if (!parts.answered || parts.rows.size() != expected) {
+            cache_.set_record(job, KeyRev());  // it is read again next time
+            finish(job, Kind::unavailable);
+            return;
+        }
+        try {
+            cache_.set_ancestors(job, jobs_in_parts(parts.rows));
+        } catch (const wire::DecodeError& e) {
+            cache_.set_record(job, KeyRev());
+            bad_record(job, parts.rows.front().key, e.what());
+            return;
+        }
+        finish(job, Kind::known);
+    });
 }
 
 void JobLookup::bad_record(const JobId& job, const std::string& key, const char* error) {
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -14,8 +14,8 @@
 
 #include "api/job_cache.hpp"
 #include "api/pending_request.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::api {
@@ -38,7 +38,7 @@
     // All requests that waited for the job, and what was found.
     using Done = std::function<void(std::vector<PendingRequest>, const JobLookupResult&)>;
 
-    JobLookup(core::Port& port, state::Store& store, JobCache& cache, Done done)
+    JobLookup(sansio::Port& port, kv::Store& store, JobCache& cache, Done done)
         : port_(port), store_(store), cache_(cache), done_(std::move(done)) {}
 
     void start(PendingRequest pending, Stage stage);
@@ -55,14 +55,14 @@
     };
 
     void send(const JobId& job);
-    void end_read(const JobId& job, const state::GetResult& result);
-    void record_read(const JobId& job, const state::GetResult& result);
+    void end_read(const JobId& job, const kv::GetResult& result);
+    void record_read(const JobId& job, const kv::GetResult& result);
     void read_parts(const JobId& job, std::uint64_t expected);
     void bad_record(const JobId& job, const std::string& key, const char* error);
     void finish(const JobId& job, JobLookupResult::Kind kind, wire::JobStatus end = {});
 
-    core::Port& port_;
-    state::Store& store_;
+    sansio::Port& port_;
+    kv::Store& store_;
     JobCache& cache_;
     Done done_;
     std::map<JobId, Lookup> lookups_;
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 
 #include "api/timeouts.hpp"
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
 namespace dunebridge::api {
 
-using state::end_key;
-using state::job_key;
-using state::Outcome;
+using kv::end_key;
+using kv::job_key;
+using kv::Outcome;
 using wire::JobPhase;
 using wire::JobStatus;
 
@@ -30,13 +30,13 @@
 // its transactions, and the ledger that it reads when a term begins.
 constexpr double kReadShareOfAll = 0.5;
 
-double reads_of_one_node(const core::Config& config) {
+double reads_of_one_node(const config::Config& config) {
     const auto nodes = static_cast<double>(config.known.size() + 1);
     return kReadShareOfAll * config.state.rps() / nodes;
 }
 }  // namespace
 
-JobService::JobService(core::Port& port, state::Store& store, const core::Config& config,
+JobService::JobService(sansio::Port& port, kv::Store& store, const config::Config& config,
                        const std::vector<wire::MachineType>& types, Display display,
                        Announce announce)
     : port_(port),
@@ -177,7 +177,7 @@
         {end_key(pending.job), cancelled_record(port_.wall_ms()), std::nullopt}};
     store_.transact(
         preconditions, writes, kWriteTimeout,
-        [this, pending = std::move(pending)](const state::TransactionResult& result) mutable {
+        [this, pending = std::move(pending)](const kv::TransactionResult& result) mutable {
             if (result.outcome == Outcome::ok) {
                 const JobStatus end{pending.job, JobPhase::cancelled, 0, 0};
                 end_found(std::move(pending), end);
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -23,10 +23,10 @@
 #include "api/pending_request.hpp"
 #include "api/submission_records.hpp"
 #include "base/token_bucket.hpp"
-#include "cluster/peers.hpp"
-#include "core/config.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "config/config.hpp"
+#include "coordination/peer_monitor.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::api {
@@ -34,12 +34,12 @@
 class JobService {
   public:
     // How far an open job is by the leader's own ledger or its heartbeats, for display.
-    using Display = std::function<cluster::Progress(const JobId&)>;
+    using Display = std::function<coordination::Progress(const JobId&)>;
     // Hands a committed cancellation to whoever must know it before its user is answered, and goes
     // on.
     using Announce = std::function<void(const JobId&, std::function<void()> then)>;
 
-    JobService(core::Port& port, state::Store& store, const core::Config& config,
+    JobService(sansio::Port& port, kv::Store& store, const config::Config& config,
                const std::vector<wire::MachineType>& types, Display display, Announce announce);
 
     void submit(RequestId request, const std::string& body);
@@ -61,7 +61,7 @@
     void look_up_dependencies(PendingRequest pending);
     void prepare(PendingRequest pending);
     void create_jobs();
-    void jobs_created(std::vector<PendingRequest> batch, const state::TransactionResult& result);
+    void jobs_created(std::vector<PendingRequest> batch, const kv::TransactionResult& result);
     void answer_created(const PendingRequest& pending, KeyRev rev);
     bool fits_transaction(const PendingRequest& pending, std::size_t preconditions,
                           std::size_t writes, std::size_t bytes) const;
@@ -80,7 +80,7 @@
     void ancestors_checked(const JobId& job, AncestorCheck::Outcome outcome,
                            const std::vector<JobId>& ended);
     void confirm();
-    void confirmed(std::vector<PendingRequest> batch, const state::TransactionResult& result);
+    void confirmed(std::vector<PendingRequest> batch, const kv::TransactionResult& result);
     void answer_confirmed(const PendingRequest& pending);
     void looked_up(std::vector<PendingRequest> waiting, const JobLookupResult& result);
     void job_known(PendingRequest pending);
@@ -99,9 +99,9 @@
     // Cancellations.
     void commit_cancellation(PendingRequest pending);
 
-    core::Port& port_;
-    state::Store& store_;
-    const core::Config& config_;
+    sansio::Port& port_;
+    kv::Store& store_;
+    const config::Config& config_;
     const std::vector<wire::MachineType>& types_;
     Display display_;
     Announce announce_;
--- a/src/api/linearizable_reads.cpp
+++ b/src/api/linearizable_reads.cpp
@@ -2,13 +2,13 @@
 // a transaction that only compares, and otherwise by reading its records.
 #include "api/job_service.hpp"
 #include "api/timeouts.hpp"
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
 namespace dunebridge::api {
 
-using state::end_key;
-using state::job_key;
-using state::Outcome;
+using kv::end_key;
+using kv::job_key;
+using kv::Outcome;
 
 // Returns whether the request now waits for a check of its job's ancestors.
 bool JobService::check_ancestors_first(PendingRequest& pending) {
@@ -60,12 +60,11 @@
         batch.push_back(std::move(pending));
     }
     ++confirming_;
-    store_.transact(
-        preconditions, {}, kReadTimeout,
-        [this, batch = std::move(batch)](const state::TransactionResult& result) mutable {
-            --confirming_;
-            confirmed(std::move(batch), result);
-        });
+    store_.transact(preconditions, {}, kReadTimeout,
+                    [this, batch = std::move(batch)](const kv::TransactionResult& result) mutable {
+                        --confirming_;
+                        confirmed(std::move(batch), result);
+                    });
 }
 
 void JobService::answer_confirmed(const PendingRequest& pending) {
@@ -80,8 +79,7 @@
     }
 }
 
-void JobService::confirmed(std::vector<PendingRequest> batch,
-                           const state::TransactionResult& result) {
+void JobService::confirmed(std::vector<PendingRequest> batch, const kv::TransactionResult& result) {
     if (result.outcome == Outcome::ok) {
         for (const auto& pending : batch) answer_confirmed(pending);
         return;
@@ -175,7 +173,7 @@
     ids.reserve(ended.size());
     for (const auto& id : ended) ids.push_back(id.get());
     const auto then = [this, ended,
-                       pending = std::move(pending)](const state::RowsResult& rows) mutable {
+                       pending = std::move(pending)](const kv::RowsResult& rows) mutable {
         bool any_cancelled = false;
         for (const auto& id : ended) {
             const auto row = rows.rows.find(end_key(id));
@@ -183,7 +181,7 @@
                 answer_unavailable(pending);
                 return;
             }
-            const bool done = state::decode_end(row->second.value).done();
+            const bool done = kv::decode_end(row->second.value).done();
             any_cancelled = any_cancelled || !done;
             if (done) ancestor_done(pending, id);
         }
@@ -196,7 +194,7 @@
             enqueue(std::move(pending));
         }
     };
-    store_.get_many(state::kEnds, std::move(ids), kReadTimeout, then);
+    store_.get_many(kv::kEnds, std::move(ids), kReadTimeout, then);
 }
 
 }  // namespace dunebridge::api
--- a/src/api/pending_request.hpp
+++ b/src/api/pending_request.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "base/types.hpp"
-#include "state/records.hpp"
+#include "kv/records.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::api {
@@ -26,7 +26,7 @@
 
 // What a submission is to write once all that it needs to know has been read.
 struct Submission {
-    state::JobRecord record;
+    kv::JobRecord record;
     // It names a cancelled job: it is accepted and ends at once.
     bool cancelled = false;
     std::vector<wire::Write> writes;
--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -5,19 +5,19 @@
 #include <optional>
 #include <utility>
 
-#include "state/format.hpp"
-#include "state/keys.hpp"
-#include "state/records.hpp"
+#include "config/record_format.hpp"
+#include "kv/keys.hpp"
+#include "kv/records.hpp"
 
 namespace dunebridge::api {
 
-using state::job_key;
+using kv::job_key;
 
 namespace {
 constexpr std::size_t kOverheadBytes = 200;  // of a write and its preconditions
 }  // namespace
 
-std::string why_never_runs(const wire::JobSpec& spec, const core::Config& config,
+std::string why_never_runs(const wire::JobSpec& spec, const config::Config& config,
                            const std::vector<wire::MachineType>& types) {
     const auto* team = config.find_team(spec.team);
     if (!team) return "unknown team";
@@ -35,7 +35,7 @@
 }
 
 std::string cancelled_record(std::int64_t now_ms) {
-    return encode(state::EndRecord{wire::JobPhase::cancelled, std::nullopt, now_ms}).packed;
+    return encode(kv::EndRecord{wire::JobPhase::cancelled, std::nullopt, now_ms}).packed;
 }
 
 Preparation SubmissionRecords::prepare(Submission& submission, std::uint64_t format,
@@ -45,12 +45,11 @@
     submission.bytes = 0;
     const auto& spec = submission.record.spec;
     if (submission.cancelled) {
-        submission.writes.push_back(
-            {state::end_key(spec.id), cancelled_record(now_ms), std::nullopt});
+        submission.writes.push_back({kv::end_key(spec.id), cancelled_record(now_ms), std::nullopt});
     } else if (!prepare_one_record(submission)) {
         if (spec.waits_on.empty()) return Preparation::too_large;
         // An older leader would not find the parts, and start the tasks early.
-        if (format < state::kSplitDependencyFormat) return Preparation::later;
+        if (format < config::kSplitDependencyFormat) return Preparation::later;
         if (!prepare_parts(submission)) return Preparation::too_many_jobs;
     }
     for (const auto& write : submission.writes) {
@@ -81,9 +80,9 @@
     }
     const auto most = config_.state.txn_ops() - 1;
     const auto limit = config_.state.value_bytes();
-    auto parts = state::encode_dependency_parts(direct, true, limit);
+    auto parts = kv::encode_dependency_parts(direct, true, limit);
     if (parts.size() > most) return false;
-    auto rest = state::encode_dependency_parts(further, false, limit);
+    auto rest = kv::encode_dependency_parts(further, false, limit);
     rest.resize(std::min(rest.size(), most - parts.size()));
     std::move(rest.begin(), rest.end(), std::back_inserter(parts));
 
@@ -97,7 +96,7 @@
     submission.writes.push_back({job_key(id), std::move(packed.packed), std::nullopt});
     for (std::size_t n = 0; n < parts.size(); ++n) {
         submission.writes.push_back(
-            {state::dependency_key(id, n), std::move(parts[n].packed), std::nullopt});
+            {kv::dependency_key(id, n), std::move(parts[n].packed), std::nullopt});
     }
     return true;
 }
--- a/src/api/submission_records.hpp
+++ b/src/api/submission_records.hpp
@@ -7,13 +7,13 @@
 #include <vector>
 
 #include "api/pending_request.hpp"
-#include "core/config.hpp"
+#include "config/config.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::api {
 
 // Why a job can never run; empty if it can.
-std::string why_never_runs(const wire::JobSpec& spec, const core::Config& config,
+std::string why_never_runs(const wire::JobSpec& spec, const config::Config& config,
                            const std::vector<wire::MachineType>& types);
 
 enum class Preparation : std::uint8_t {
@@ -25,7 +25,7 @@
 
 class SubmissionRecords {
   public:
-    explicit SubmissionRecords(const core::Config& config) : config_(config) {}
+    explicit SubmissionRecords(const config::Config& config) : config_(config) {}
 
     // Fills in the writes, for a ledger in that format; `now_ms` is the time of day.
     Preparation prepare(Submission& submission, std::uint64_t format, std::int64_t now_ms) const;
@@ -34,7 +34,7 @@
     bool prepare_one_record(Submission& submission) const;
     bool prepare_parts(Submission& submission) const;
 
-    const core::Config& config_;
+    const config::Config& config_;
 };
 
 // The record of a cancellation by a node that does not know how many tasks the job has.
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -3,14 +3,14 @@
 
 #include "api/job_service.hpp"
 #include "api/timeouts.hpp"
-#include "state/format.hpp"
-#include "state/keys.hpp"
+#include "config/record_format.hpp"
+#include "kv/keys.hpp"
 
 namespace dunebridge::api {
 
-using state::end_key;
-using state::job_key;
-using state::Outcome;
+using kv::end_key;
+using kv::job_key;
+using kv::Outcome;
 using wire::JobPhase;
 using wire::JobStatus;
 
@@ -65,17 +65,17 @@
 // A version that does not know chains would start its tasks early: until none can lead any more,
 // the submission is refused for the time being.
 void JobService::submit_dependent(PendingRequest pending) {
-    if (format_ >= state::kNewestFormat) {
+    if (format_ >= config::kNewestFormat) {
         look_up_dependencies(std::move(pending));
         return;
     }
-    store_.get(state::kFormatMark, kReadTimeout,
-               [this, pending = std::move(pending)](const state::GetResult& result) mutable {
+    store_.get(kv::kFormatMark, kReadTimeout,
+               [this, pending = std::move(pending)](const kv::GetResult& result) mutable {
                    if (result.answered && result.row) {
                        format_ = result.row->value["v"].count().value_or(format_);
                    }
-                   format_ >= state::kRangeFormat ? look_up_dependencies(std::move(pending))
-                                                  : answer_unavailable(pending);
+                   format_ >= config::kRangeFormat ? look_up_dependencies(std::move(pending))
+                                                   : answer_unavailable(pending);
                });
 }
 
@@ -162,7 +162,7 @@
         ++creating_;
         store_.transact(
             preconditions, writes, kWriteTimeout,
-            [this, batch = std::move(batch)](const state::TransactionResult& result) mutable {
+            [this, batch = std::move(batch)](const kv::TransactionResult& result) mutable {
                 --creating_;
                 jobs_created(std::move(batch), result);
             });
@@ -183,7 +183,7 @@
 }
 
 void JobService::jobs_created(std::vector<PendingRequest> batch,
-                              const state::TransactionResult& result) {
+                              const kv::TransactionResult& result) {
     const std::set<std::string> failed(result.failed.begin(), result.failed.end());
     for (auto& pending : batch) {
         if (result.outcome == Outcome::ok) {
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-using dunebridge::core::LogLevel;
+using dunebridge::sansio::LogLevel;
 
 LogLevel log_level() {
     const char* value = std::getenv("LOG_LEVEL");
--- a/src/app/runtime.cpp
+++ b/src/app/runtime.cpp
@@ -24,11 +24,11 @@
 // To read what has queued up in the sockets meanwhile, before anyone is judged by the clock.
 constexpr Millis kCatchUp{20};
 
-spdlog::level::level_enum to_spdlog(core::LogLevel level) {
+spdlog::level::level_enum to_spdlog(sansio::LogLevel level) {
     switch (level) {
-        case core::LogLevel::error:
+        case sansio::LogLevel::error:
             return spdlog::level::err;
-        case core::LogLevel::info:
+        case sansio::LogLevel::info:
             return spdlog::level::info;
         default:
             return spdlog::level::debug;
@@ -36,25 +36,25 @@
 }
 }  // namespace
 
-Runtime::Runtime(const core::Config& config, core::LogLevel level, std::uint64_t seed)
+Runtime::Runtime(const config::Config& config, sansio::LogLevel level, std::uint64_t seed)
     : config_(config),
       sockets_(config.fd_limit),
       core_(config, seed, level),
       services_(io_, sockets_.service, kIdleLimit),
       peers_(io_, sockets_.peers, kIdleLimit),
       commands_(io_, sockets_.commands, kIdleCommands) {
-    const auto take = [this](core::Plane plane) {
+    const auto take = [this](controller::Plane plane) {
         return [this, plane](net::HttpRequest&& r) {
-            post(core::Request{r.id, plane, std::move(r.method), std::move(r.target),
-                               std::move(r.body), r.too_large});
+            post(controller::Request{r.id, plane, std::move(r.method), std::move(r.target),
+                                     std::move(r.body), r.too_large});
         };
     };
     const net::HttpServer::Limits front{sockets_.front, std::max(kIdleFront, config.report * 4)};
     const net::HttpServer::Limits back{sockets_.back, kIdleFront};
     front_ = std::make_unique<net::HttpServer>(io_, config.public_addr, front, 0,
-                                               take(core::Plane::front));
+                                               take(controller::Plane::front));
     back_ = std::make_unique<net::HttpServer>(io_, config.back_addr, back, kBackIds,
-                                              take(core::Plane::back));
+                                              take(controller::Plane::back));
 }
 
 void Runtime::run() {
@@ -72,7 +72,7 @@
 }
 
 // Commands that come in the same turn of the loop are worked through as one batch.
-void Runtime::post(core::Command&& command) {
+void Runtime::post(controller::Command&& command) {
     queue_.push_back(std::move(command));
     if (step_posted_) return;
     step_posted_ = true;
@@ -81,7 +81,7 @@
 
 void Runtime::step() {
     step_posted_ = false;
-    std::vector<core::Command> batch;
+    std::vector<controller::Command> batch;
     batch.swap(queue_);
     const auto wall =
         std::chrono::duration_cast<Millis>(std::chrono::system_clock::now().time_since_epoch());
@@ -120,16 +120,17 @@
 
 // What was decided before a stand-still is not acted on: nothing is sent, and nothing answered as
 // by one entitled to.
-void Runtime::give_up(core::Effects&& effects) {
+void Runtime::give_up(sansio::Effects&& effects) {
     for (auto& answer : effects.answers) {
         answer = {answer.id, 503, wire::encode_error("stood still"), 1};
     }
-    for (const auto& c : effects.calls) post(core::CallDone{c.id, {core::HttpReply::kUnsent, {}}});
+    for (const auto& c : effects.calls)
+        post(controller::CallDone{c.id, {sansio::HttpReply::kUnsent, {}}});
     effects.calls.clear();
     carry_out(std::move(effects));
 }
 
-void Runtime::carry_out(core::Effects&& effects) {
+void Runtime::carry_out(sansio::Effects&& effects) {
     for (const auto& line : effects.logs) {
         spdlog::log(to_spdlog(line.level), "node={} {}", config_.name.get(), line.text);
     }
@@ -141,21 +142,21 @@
     for (auto& c : effects.calls) asio::co_spawn(io_, call(std::move(c), decided), asio::detached);
 }
 
-asio::awaitable<void> Runtime::call(core::HttpCall c, Instant decided) {
+asio::awaitable<void> Runtime::call(sansio::HttpCall c, Instant decided) {
     // The process may have stood still since: what it decided as the leader is not sent any more.
     if (now() - decided >= config_.tuning.leader_lease) {
-        post(core::CallDone{c.id, {core::HttpReply::kUnsent, {}}});
+        post(controller::CallDone{c.id, {sansio::HttpReply::kUnsent, {}}});
         co_return;
     }
     std::string address = c.endpoint;
-    if (c.service == core::Service::state) address = config_.state_addr;
-    if (c.service == core::Service::cloud) address = config_.cloud_addr;
-    auto& client = c.service == core::Service::worker ? commands_
-                   : c.service == core::Service::peer ? peers_
-                                                      : services_;
+    if (c.service == sansio::Service::state) address = config_.state_addr;
+    if (c.service == sansio::Service::cloud) address = config_.cloud_addr;
+    auto& client = c.service == sansio::Service::worker ? commands_
+                   : c.service == sansio::Service::peer ? peers_
+                                                        : services_;
     auto reply = co_await client.call(std::move(address), std::move(c.method), std::move(c.target),
                                       std::move(c.body), c.timeout);
-    post(core::CallDone{c.id, std::move(reply)});
+    post(controller::CallDone{c.id, std::move(reply)});
 }
 
 // A connection that is kept spares a new one for the next command, so the workers have the places
--- a/src/app/runtime.hpp
+++ b/src/app/runtime.hpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <vector>
 
-#include "core/core.hpp"
+#include "controller/controller.hpp"
 #include "net/asio.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
@@ -13,31 +13,31 @@
 
 class Runtime {
   public:
-    Runtime(const core::Config& config, core::LogLevel level, std::uint64_t seed);
+    Runtime(const config::Config& config, sansio::LogLevel level, std::uint64_t seed);
     void run();
 
   private:
-    void post(core::Command&& command);
+    void post(controller::Command&& command);
     void step();
-    void carry_out(core::Effects&& effects);
-    void give_up(core::Effects&& effects);
+    void carry_out(sansio::Effects&& effects);
+    void give_up(sansio::Effects&& effects);
     void arm(Instant wake);
     void catch_up(Millis late);
-    boost::asio::awaitable<void> call(core::HttpCall call, Instant decided);
+    boost::asio::awaitable<void> call(sansio::HttpCall call, Instant decided);
     void share_sockets();
     boost::asio::awaitable<void> sweep();
     static Instant now();
 
-    const core::Config config_;
-    const core::SocketBudget sockets_;
+    const config::Config config_;
+    const config::SocketBudget sockets_;
     boost::asio::io_context io_{1};
-    core::Core core_;
+    controller::Core core_;
     net::HttpClient services_;  // the state service and the cloud
     net::HttpClient peers_;
     net::HttpClient commands_;  // to workers
     std::unique_ptr<net::HttpServer> front_;
     std::unique_ptr<net::HttpServer> back_;
-    std::vector<core::Command> queue_;
+    std::vector<controller::Command> queue_;
     bool step_posted_ = false;
     boost::asio::steady_timer timer_{io_};
     Instant armed_{};  // when it fires; zero: not set
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -90,7 +90,7 @@
     std::string path_;
 };
 
-void read_cluster(const Table& cluster, core::Config& config) {
+void read_cluster(const Table& cluster, config::Config& config) {
     constexpr double most = 1e6;
     config.zones = cluster.texts("zones");
     config.skew = Millis(static_cast<std::int64_t>(cluster.number_or("skew_ms", 0, 0, most)));
@@ -100,7 +100,7 @@
                                 t.number_or("gpus_max", 0, 0, 1e9)});
     }
     for (const auto& o : cluster.list("objectives")) {
-        core::Objective objective;
+        config::Objective objective;
         objective.kind = o.text("kind");
         objective.within_s = o.number_or("within_s", 0, 0, most);
         try {
@@ -115,10 +115,10 @@
     config.lease = from_seconds(workers.number("lease_s", 0.1, most));
     config.cancel = from_seconds(workers.number("cancel_s", 0.1, most));
     const auto service = cluster.sub("state");
-    const state::Limits::Set today{service.number("rps", 1, 1e7),
-                                   service.number("write_rps", 1, 1e7),
-                                   service.number("value_kb", 1, 1e6),
-                                   static_cast<std::size_t>(service.number("txn_ops", 4, 1e6))};
+    const config::Limits::Set today{service.number("rps", 1, 1e7),
+                                    service.number("write_rps", 1, 1e7),
+                                    service.number("value_kb", 1, 1e6),
+                                    static_cast<std::size_t>(service.number("txn_ops", 4, 1e6))};
     auto next = today;
     if (service.has("next")) {
         const auto n = service.sub("next");
@@ -128,7 +128,7 @@
                 static_cast<std::size_t>(
                     n.number_or("txn_ops", static_cast<double>(today.txn_ops), 4, 1e6))};
     }
-    config.state = state::Limits(today, next);
+    config.state = config::Limits(today, next);
     const auto cloud = cluster.sub("cloud");
     config.cloud_rps = cloud.number("rps", 0.01, 1e6);
     config.list_lag = from_seconds(cloud.number("list_lag_s", 0, most));
@@ -138,7 +138,7 @@
     config.fd_limit = static_cast<std::size_t>(quota.number("fd_limit", 32, 1e8));
 }
 
-core::Config read_platform(const std::string& path) {
+config::Config read_platform(const std::string& path) {
     toml::table root;
     try {
         root = toml::parse_file(path);
@@ -149,7 +149,7 @@
         throw SettingsError(path + where + ": " + std::string(e.description()));
     }
     const Table top(root, path, "");
-    core::Config config;
+    config::Config config;
     config.name = NodeName(top.text("label"));
     config.zone = top.text("domain");
     config.public_addr = top.address("public_addr");
@@ -208,7 +208,7 @@
     pugi::xml_document document_;
 };
 
-void read_operators(const std::string& path, core::Tuning& tuning) {
+void read_operators(const std::string& path, config::Tuning& tuning) {
     const OperatorsFile file(path);
     if (const auto line = file.text("preemption", "from")) {
         if (*line == "prod") {
@@ -229,7 +229,7 @@
 
 }  // namespace
 
-core::Config load_settings(const std::string& path, const std::string& operators_path) {
+config::Config load_settings(const std::string& path, const std::string& operators_path) {
     auto config = read_platform(path);
     if (!operators_path.empty()) read_operators(operators_path, config.tuning);
     return config;
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "core/config.hpp"
+#include "config/config.hpp"
 
 namespace dunebridge::app {
 
@@ -14,6 +14,6 @@
 
 // Reads both files. Throws SettingsError naming the file and the field. `operators_path` may be
 // empty: then the defaults hold.
-core::Config load_settings(const std::string& path, const std::string& operators_path);
+config::Config load_settings(const std::string& path, const std::string& operators_path);
 
 }  // namespace dunebridge::app
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -8,11 +8,11 @@
 #include <vector>
 
 #include "base/types.hpp"
-#include "state/format.hpp"
-#include "state/limits.hpp"
+#include "config/kv_limits.hpp"
+#include "config/record_format.hpp"
 #include "wire/messages.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::config {
 
 struct Team {
     std::string name;
@@ -88,9 +88,9 @@
     Millis lease{30000};
     Millis cancel{60000};
 
-    state::Limits state;
+    config::Limits state;
     // The newest format of the ledger that this node reads and writes.
-    std::uint64_t format = state::kNewestFormat;
+    std::uint64_t format = config::kNewestFormat;
 
     double cloud_rps = 3;
     Millis list_lag{8000};
@@ -121,4 +121,4 @@
     }
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::config
--- a/src/config/kv_limits.hpp
+++ b/src/config/kv_limits.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace dunebridge::state {
+namespace dunebridge::config {
 
 // The only place that knows both sets of limits. What can keep to the smaller of them at no cost
 // does so from the start: rates and the size of transactions. Values of the format that is in force
@@ -40,4 +40,4 @@
     Set next_;
 };
 
-}  // namespace dunebridge::state
+}  // namespace dunebridge::config
--- a/src/config/record_format.hpp
+++ b/src/config/record_format.hpp
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-namespace dunebridge::state {
+namespace dunebridge::config {
 
 // One progress record for each 256 tasks of a job.
 inline constexpr std::uint64_t kChunkFormat = 2;
@@ -14,4 +14,4 @@
 inline constexpr std::uint64_t kSplitDependencyFormat = 4;
 inline constexpr std::uint64_t kNewestFormat = kSplitDependencyFormat;
 
-}  // namespace dunebridge::state
+}  // namespace dunebridge::config
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -1,10 +1,10 @@
-#include "core/core.hpp"
+#include "controller/controller.hpp"
 
 #include <algorithm>
 
-#include "state/format.hpp"
+#include "config/record_format.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::controller {
 
 namespace {
 constexpr Millis kTick{100};
@@ -32,7 +32,7 @@
 }
 }  // namespace
 
-Core::Core(Config config, std::uint64_t seed, LogLevel level)
+Core::Core(config::Config config, std::uint64_t seed, sansio::LogLevel level)
     : config_(std::move(config)),
       port_(seed, level),
       store_(port_, config_),
@@ -56,7 +56,7 @@
       rules_(port_, config_, store_, election_, peers_, ledger_),
       relay_(port_, config_, store_, election_, peers_) {}
 
-Effects Core::apply(std::vector<Command>&& batch, Instant now, std::int64_t wall_ms) {
+sansio::Effects Core::apply(std::vector<Command>&& batch, Instant now, std::int64_t wall_ms) {
     port_.set_time(now, wall_ms);
     port_.reset_wake();
     if (rules_.step_back_after_stall(last_apply_)) follow_leadership();
@@ -174,10 +174,10 @@
     }
     try {
         const auto doc = wire::Document::need(request.body);
-        peers_.heard(cluster::decode_heartbeat(doc.root()));
-        port_.answer(request.id, 200, cluster::encode(heartbeat()));
+        peers_.heard(coordination::decode_heartbeat(doc.root()));
+        port_.answer(request.id, 200, coordination::encode(heartbeat()));
     } catch (const wire::DecodeError& e) {
-        port_.log(LogLevel::error, "event=bad_heartbeat error=\"{}\"", e.what());
+        port_.log(sansio::LogLevel::error, "event=bad_heartbeat error=\"{}\"", e.what());
         port_.answer(request.id, 400, wire::encode_error(e.what()));
     }
 }
@@ -261,7 +261,7 @@
 std::vector<JobId> Core::faulty_jobs() {
     std::vector<JobId> faulty;
     for (const auto& [id, job] : ledger_.jobs()) {
-        if (job.state == JobState::open && job.failures.faulty) faulty.push_back(id);
+        if (job.state == state::JobState::open && job.failures.faulty) faulty.push_back(id);
     }
     return faulty;
 }
@@ -281,14 +281,14 @@
 // The newest format of the ledger that every controller has shown to know.
 std::uint64_t Core::format_of_all() const {
     auto format = config_.format;
-    while (format > state::kChunkFormat && !peers_.all_know(format)) --format;
+    while (format > config::kChunkFormat && !peers_.all_know(format)) --format;
     return format;
 }
 
 // ---- peers ----
 
-cluster::Heartbeat Core::heartbeat() {
-    cluster::Heartbeat heartbeat;
+coordination::Heartbeat Core::heartbeat() {
+    coordination::Heartbeat heartbeat;
     heartbeat.node = config_.name;
     heartbeat.leads = leads();
     heartbeat.term = election_.is_leader() ? election_.term() : peers_.highest_term();
@@ -300,20 +300,21 @@
     // Written only once every controller knows this version.
     if (format_of_all() == config_.format) heartbeat.faulty_jobs = own_faulty_jobs_;
     for (const auto& [id, job] : ledger_.jobs()) {
-        if (job.state == JobState::open && (job.done > 0 || job.running > 0)) {
+        if (job.state == state::JobState::open && (job.done > 0 || job.running > 0)) {
             heartbeat.progress.push_back({id, job.done, job.running});
         }
     }
     return heartbeat;
 }
 
-cluster::Progress Core::progress(const JobId& id) {
+coordination::Progress Core::progress(const JobId& id) {
     if (leads()) {
         const auto* job = ledger_.find_job(id);
-        return job ? cluster::Progress{id, job->done, job->running} : cluster::Progress{id, 0, 0};
+        return job ? coordination::Progress{id, job->done, job->running}
+                   : coordination::Progress{id, 0, 0};
     }
     const auto it = peers_.progress().find(id);
-    return it == peers_.progress().end() ? cluster::Progress{id, 0, 0} : it->second;
+    return it == peers_.progress().end() ? coordination::Progress{id, 0, 0} : it->second;
 }
 
 // ---- placement ----
@@ -328,4 +329,4 @@
     next_schedule_ = port_.now() + std::clamp(Millis(waiting / 2), kScheduleEvery, kScheduleMost);
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::controller
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -8,22 +8,22 @@
 #include <vector>
 
 #include "api/job_service.hpp"
-#include "cluster/cancellation_log.hpp"
-#include "cluster/election.hpp"
-#include "cluster/peers.hpp"
-#include "core/checkin_relay.hpp"
-#include "core/config.hpp"
-#include "core/leadership_rules.hpp"
-#include "core/ledger.hpp"
-#include "core/ledger_committer.hpp"
-#include "core/ledger_loader.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "controller/heartbeat_relay.hpp"
+#include "controller/leadership_guard.hpp"
+#include "coordination/cancellation_log.hpp"
+#include "coordination/election.hpp"
+#include "coordination/peer_monitor.hpp"
+#include "kv/client.hpp"
 #include "provisioning/provisioner.hpp"
+#include "sansio/context.hpp"
 #include "scheduler/scheduler.hpp"
-#include "state/store.hpp"
-#include "workers/workers.hpp"
+#include "state/cluster_state.hpp"
+#include "state/cluster_state_loader.hpp"
+#include "state/cluster_state_writer.hpp"
+#include "workers/worker_manager.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::controller {
 
 enum class Plane : std::uint8_t { front, back };
 
@@ -37,20 +37,20 @@
 };
 struct CallDone {
     CallId id;
-    HttpReply reply;
+    sansio::HttpReply reply;
 };
 using Command = std::variant<Request, CallDone>;
 
 class Core {
   public:
-    Core(Config config, std::uint64_t seed, LogLevel level);
+    Core(config::Config config, std::uint64_t seed, sansio::LogLevel level);
     Core(const Core&) = delete;
     Core& operator=(const Core&) = delete;
     Core(Core&&) = delete;
     Core& operator=(Core&&) = delete;
     ~Core() = default;
 
-    Effects apply(std::vector<Command>&& batch, Instant now, std::int64_t wall_ms);
+    sansio::Effects apply(std::vector<Command>&& batch, Instant now, std::int64_t wall_ms);
     // When apply() wants to be called even without commands.
     Instant wake() const { return port_.wake(); }
 
@@ -75,18 +75,18 @@
     void follow_leadership();
     void schedule();
     std::uint64_t format_of_all() const;
-    cluster::Heartbeat heartbeat();
-    cluster::Progress progress(const JobId& id);
+    coordination::Heartbeat heartbeat();
+    coordination::Progress progress(const JobId& id);
 
-    const Config config_;
-    Port port_;
-    state::Store store_;
-    cluster::Election election_;
-    cluster::CancellationLog cancellations_;
-    cluster::Peers peers_;
-    Ledger ledger_;
-    LedgerLoader loader_;
-    LedgerCommitter committer_;
+    const config::Config config_;
+    sansio::Port port_;
+    kv::Store store_;
+    coordination::Election election_;
+    coordination::CancellationLog cancellations_;
+    coordination::Peers peers_;
+    state::Ledger ledger_;
+    state::LedgerLoader loader_;
+    state::LedgerCommitter committer_;
     workers::Workers workers_;
     provisioning::Provisioner provisioner_;
     scheduler::Scheduler scheduler_;
@@ -102,4 +102,4 @@
     Instant next_upkeep_{};
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::controller
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -1,8 +1,8 @@
-#include "core/checkin_relay.hpp"
+#include "controller/heartbeat_relay.hpp"
 
 #include <algorithm>
 
-namespace dunebridge::core {
+namespace dunebridge::controller {
 
 namespace {
 constexpr Millis kForgetEvery{5000};
@@ -12,8 +12,8 @@
 constexpr int kRetryAfter_s = 1;
 }  // namespace
 
-CheckinRelay::CheckinRelay(Port& port, const Config& config, const state::Store& store,
-                           const cluster::Election& election, const cluster::Peers& peers)
+CheckinRelay::CheckinRelay(sansio::Port& port, const config::Config& config, const kv::Store& store,
+                           const coordination::Election& election, const coordination::Peers& peers)
     : port_(port), config_(config), store_(store), election_(election), peers_(peers) {}
 
 void CheckinRelay::handle(RequestId id, const std::string& body, wire::Value report) {
@@ -56,9 +56,9 @@
 }
 
 // The leader's own answer, with its token, is handed on: this node adds nothing.
-void CheckinRelay::relay(RequestId id, const std::string& body, const KnownNode& leader) {
-    port_.call(Service::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
-               [this, id](const HttpReply& reply) {
+void CheckinRelay::relay(RequestId id, const std::string& body, const config::KnownNode& leader) {
+    port_.call(sansio::Service::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
+               [this, id](const sansio::HttpReply& reply) {
                    if (reply.status == 200) {
                        port_.answer(id, 200, reply.body);
                    } else {
@@ -68,4 +68,4 @@
                });
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::controller
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -8,18 +8,18 @@
 #include <map>
 #include <string>
 
-#include "cluster/election.hpp"
-#include "cluster/peers.hpp"
-#include "core/config.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "config/config.hpp"
+#include "coordination/election.hpp"
+#include "coordination/peer_monitor.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::controller {
 
 class CheckinRelay {
   public:
-    CheckinRelay(Port& port, const Config& config, const state::Store& store,
-                 const cluster::Election& election, const cluster::Peers& peers);
+    CheckinRelay(sansio::Port& port, const config::Config& config, const kv::Store& store,
+                 const coordination::Election& election, const coordination::Peers& peers);
 
     // Throws wire::DecodeError if the report names no host.
     void handle(RequestId id, const std::string& body, wire::Value report);
@@ -28,15 +28,15 @@
     NodeName known_leader() const;
     bool redirected_lately(const HostName& host);
     void redirect(RequestId id, const NodeName& leader);
-    void relay(RequestId id, const std::string& body, const KnownNode& leader);
+    void relay(RequestId id, const std::string& body, const config::KnownNode& leader);
 
-    Port& port_;
-    const Config& config_;
-    const state::Store& store_;
-    const cluster::Election& election_;
-    const cluster::Peers& peers_;
+    sansio::Port& port_;
+    const config::Config& config_;
+    const kv::Store& store_;
+    const coordination::Election& election_;
+    const coordination::Peers& peers_;
     std::map<HostName, Instant> redirected_;  // and when each was first
     Instant next_forget_{};
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::controller
--- a/src/controller/leadership_guard.cpp
+++ b/src/controller/leadership_guard.cpp
@@ -1,8 +1,8 @@
-#include "core/leadership_rules.hpp"
+#include "controller/leadership_guard.hpp"
 
 #include <algorithm>
 
-namespace dunebridge::core {
+namespace dunebridge::controller {
 
 namespace {
 // Without any worker's report for so many intervals a leader counts as unreached.
@@ -12,9 +12,9 @@
 constexpr int kIsolatedPercent = 35;  // of a worker's lease
 }  // namespace
 
-LeadershipRules::LeadershipRules(Port& port, const Config& config, const state::Store& store,
-                                 cluster::Election& election, const cluster::Peers& peers,
-                                 Ledger& ledger)
+LeadershipRules::LeadershipRules(sansio::Port& port, const config::Config& config,
+                                 const kv::Store& store, coordination::Election& election,
+                                 const coordination::Peers& peers, state::Ledger& ledger)
     : port_(port),
       config_(config),
       store_(store),
@@ -22,8 +22,8 @@
       peers_(peers),
       ledger_(ledger),
       max_unsure_(config.max_unsure()) {
-    if (max_unsure_ > Config::kMinUnsure) return;
-    port_.log(LogLevel::error, "event=cancel_short cancel_s={} lease_s={}",
+    if (max_unsure_ > config::Config::kMinUnsure) return;
+    port_.log(sansio::LogLevel::error, "event=cancel_short cancel_s={} lease_s={}",
               to_seconds(config_.cancel), to_seconds(config_.lease));
 }
 
@@ -42,7 +42,7 @@
     const auto alone = std::min(store_.silent_for(), port_.now() - peers_.last_heard());
     const auto limit = config_.lease * kIsolatedPercent / 100;
     if (alone < std::max(config_.tuning.leader_lease, limit)) return;
-    port_.log(LogLevel::info, "event=isolated term={}", election_.term().get());
+    port_.log(sansio::LogLevel::info, "event=isolated term={}", election_.term().get());
     election_.step_back("it is isolated");
 }
 
@@ -57,7 +57,7 @@
     }
     if (last_report == Instant{}) return;
     if (port_.now() - last_report < config_.report * kMissedReports) return;
-    port_.log(LogLevel::info, "event=unreached term={}", election_.term().get());
+    port_.log(sansio::LogLevel::info, "event=unreached term={}", election_.term().get());
     election_.resign(kStandAside);
 }
 
@@ -67,9 +67,9 @@
 bool LeadershipRules::may_renew_leases(Instant ends_read_at) {
     const auto known = std::max(ends_read_at, peers_.acknowledged_until(ends_read_at));
     if (port_.now() - known <= max_unsure_) return true;
-    port_.log(LogLevel::error, "event=cancellations_unknown term={} since_s={:.1f}",
+    port_.log(sansio::LogLevel::error, "event=cancellations_unknown term={} since_s={:.1f}",
               election_.term().get(), to_seconds(port_.now() - known));
     return false;
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::controller
--- a/src/controller/leadership_guard.hpp
+++ b/src/controller/leadership_guard.hpp
@@ -2,19 +2,20 @@
 // not shown that another leads.
 #pragma once
 
-#include "cluster/election.hpp"
-#include "cluster/peers.hpp"
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "config/config.hpp"
+#include "coordination/election.hpp"
+#include "coordination/peer_monitor.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::controller {
 
 class LeadershipRules {
   public:
-    LeadershipRules(Port& port, const Config& config, const state::Store& store,
-                    cluster::Election& election, const cluster::Peers& peers, Ledger& ledger);
+    LeadershipRules(sansio::Port& port, const config::Config& config, const kv::Store& store,
+                    coordination::Election& election, const coordination::Peers& peers,
+                    state::Ledger& ledger);
 
     // Nothing is decided or answered as the leader after a stand-still of the process. Returns
     // whether there was one.
@@ -28,13 +29,13 @@
     bool may_renew_leases(Instant ends_read_at);
 
   private:
-    Port& port_;
-    const Config& config_;
-    const state::Store& store_;
-    cluster::Election& election_;
-    const cluster::Peers& peers_;
-    Ledger& ledger_;
+    sansio::Port& port_;
+    const config::Config& config_;
+    const kv::Store& store_;
+    coordination::Election& election_;
+    const coordination::Peers& peers_;
+    state::Ledger& ledger_;
     const Millis max_unsure_;
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::controller
--- a/src/coordination/cancellation_log.cpp
+++ b/src/coordination/cancellation_log.cpp
@@ -1,6 +1,6 @@
-#include "cluster/cancellation_log.hpp"
+#include "coordination/cancellation_log.hpp"
 
-namespace dunebridge::cluster {
+namespace dunebridge::coordination {
 
 namespace {
 // Whoever misses what is dropped for room finds a gap in the numbers, and must read the state
@@ -9,7 +9,7 @@
 constexpr Millis kForgetEvery{5000};
 }  // namespace
 
-CancellationLog::CancellationLog(core::Port& port, const core::Config& config)
+CancellationLog::CancellationLog(sansio::Port& port, const config::Config& config)
     : port_(port), config_(config) {
     part_.incarnation = port.random() | 1u;
 }
@@ -36,4 +36,4 @@
     return part_;
 }
 
-}  // namespace dunebridge::cluster
+}  // namespace dunebridge::coordination
--- a/src/coordination/cancellation_log.hpp
+++ b/src/coordination/cancellation_log.hpp
@@ -12,10 +12,10 @@
 #include <vector>
 
 #include "base/types.hpp"
-#include "core/config.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "sansio/context.hpp"
 
-namespace dunebridge::cluster {
+namespace dunebridge::coordination {
 
 // A part of a node's log: what follows one another from `first` on, up to its end.
 struct CancellationLogPart {
@@ -28,7 +28,7 @@
 
 class CancellationLog {
   public:
-    CancellationLog(core::Port& port, const core::Config& config);
+    CancellationLog(sansio::Port& port, const config::Config& config);
 
     // Returns whether it was not known.
     bool add(const JobId& id);
@@ -36,8 +36,8 @@
     const CancellationLogPart& kept();
 
   private:
-    core::Port& port_;
-    const core::Config& config_;
+    sansio::Port& port_;
+    const config::Config& config_;
     CancellationLogPart part_;
     std::deque<Instant> since_;  // of each job in part_
     // When each was learnt. Kept for longer than the log, as peers' logs drop theirs later: they
@@ -46,4 +46,4 @@
     Instant next_forget_{};
 };
 
-}  // namespace dunebridge::cluster
+}  // namespace dunebridge::coordination
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -1,9 +1,9 @@
-#include "cluster/election.hpp"
+#include "coordination/election.hpp"
 
-namespace dunebridge::cluster {
+namespace dunebridge::coordination {
 
-using core::LogLevel;
-using state::Outcome;
+using kv::Outcome;
+using sansio::LogLevel;
 
 namespace {
 constexpr Millis kRetry{300};
@@ -11,7 +11,7 @@
 constexpr Millis kTimeout{2500};  // the service may be slow without being down
 }  // namespace
 
-Election::Election(core::Port& port, state::Store& store, const core::Config& config)
+Election::Election(sansio::Port& port, kv::Store& store, const config::Config& config)
     : port_(port),
       store_(store),
       config_(config),
@@ -59,7 +59,7 @@
 
 void Election::observe() {
     reading_ = true;
-    store_.list(kLeadKey, [this](const state::ListResult& result) {
+    store_.list(kLeadKey, [this](const kv::ListResult& result) {
         reading_ = false;
         if (!result.answered) {
             next_read_ = port_.now() + kRetry + port_.jitter(kRetry);
@@ -79,9 +79,9 @@
 
 void Election::watch() {
     watching_ = true;
-    store_.watch(kLeadKey, watch_from_, kWatchWait, [this](const state::WatchResult& result) {
+    store_.watch(kLeadKey, watch_from_, kWatchWait, [this](const kv::WatchResult& result) {
         watching_ = false;
-        if (result.kind != state::WatchResult::Kind::changes) {
+        if (result.kind != kv::WatchResult::Kind::changes) {
             observed_ = false;
             next_read_ = port_.now() + port_.jitter(kRetry);
             return;
@@ -156,7 +156,7 @@
 }
 
 void Election::read_term(KeyRev over) {
-    store_.get(kTermKey, kTimeout, [this, over](const state::GetResult& result) {
+    store_.get(kTermKey, kTimeout, [this, over](const kv::GetResult& result) {
         if (!result.answered) {
             campaigning_ = false;
             next_campaign_ = port_.now() + kRetry + port_.jitter(kRetry);
@@ -175,7 +175,7 @@
         {kLeadKey, lead_value(term), lease_},
         {kTermKey, wire::Writer().count(term.get()).take(), std::nullopt}};
     store_.transact(
-        preconditions, writes, kTimeout, [this, term](const state::TransactionResult& result) {
+        preconditions, writes, kTimeout, [this, term](const kv::TransactionResult& result) {
             campaigning_ = false;
             next_campaign_ = port_.now() + kRetry + port_.jitter(kRetry);
             if (result.outcome == Outcome::ok) {
@@ -198,11 +198,11 @@
     if (!lease_) return;
     renewing_ = true;
     const auto lease = *lease_;
-    store_.renew_lease(lease, [this, lease](state::LeaseRenewal renewal) {
+    store_.renew_lease(lease, [this, lease](kv::LeaseRenewal renewal) {
         renewing_ = false;
-        const bool again_soon = renewal != state::LeaseRenewal::renewed;
+        const bool again_soon = renewal != kv::LeaseRenewal::renewed;
         next_renewal_ = port_.now() + config_.tuning.leader_lease / (again_soon ? 10 : 3);
-        if (renewal != state::LeaseRenewal::ended) return;
+        if (renewal != kv::LeaseRenewal::ended) return;
         if (lease_ == lease) lease_.reset();
         if (leader_) step_down("the lease has ended");
         observed_ = false;
@@ -238,7 +238,7 @@
     aside_until_ = port_.now() + aside;
     // Only speeds things up: without it the key goes when its lease ends.
     store_.transact({key}, {{kLeadKey, std::nullopt, std::nullopt}}, Millis(1500),
-                    [this](const state::TransactionResult&) {
+                    [this](const kv::TransactionResult&) {
                         observed_ = false;
                         next_read_ = port_.now();
                     });
@@ -251,4 +251,4 @@
     next_campaign_ = port_.now();
 }
 
-}  // namespace dunebridge::cluster
+}  // namespace dunebridge::coordination
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -9,18 +9,18 @@
 #include <string>
 
 #include "base/types.hpp"
-#include "core/config.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "config/config.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
 
-namespace dunebridge::cluster {
+namespace dunebridge::coordination {
 
 inline constexpr const char* kLeadKey = "lead";
 inline constexpr const char* kTermKey = "term";
 
 class Election {
   public:
-    Election(core::Port& port, state::Store& store, const core::Config& config);
+    Election(sansio::Port& port, kv::Store& store, const config::Config& config);
 
     void tick();
 
@@ -62,9 +62,9 @@
     void step_down(const char* why);
     std::string lead_value(Term term) const;
 
-    core::Port& port_;
-    state::Store& store_;
-    const core::Config& config_;
+    sansio::Port& port_;
+    kv::Store& store_;
+    const config::Config& config_;
     std::string incarnation_;
 
     bool leader_ = false;
@@ -90,4 +90,4 @@
     Instant aside_until_{};
 };
 
-}  // namespace dunebridge::cluster
+}  // namespace dunebridge::coordination
--- a/src/coordination/peer_heartbeat.cpp
+++ b/src/coordination/peer_heartbeat.cpp
@@ -1,9 +1,9 @@
-#include "cluster/heartbeat.hpp"
+#include "coordination/peer_heartbeat.hpp"
 
 #include <algorithm>
 #include <cstddef>
 
-namespace dunebridge::cluster {
+namespace dunebridge::coordination {
 
 namespace {
 constexpr std::uint64_t kVersion = 1;
@@ -73,4 +73,4 @@
     return heartbeat;
 }
 
-}  // namespace dunebridge::cluster
+}  // namespace dunebridge::coordination
--- a/src/coordination/peer_heartbeat.hpp
+++ b/src/coordination/peer_heartbeat.hpp
@@ -7,10 +7,10 @@
 #include <vector>
 
 #include "base/types.hpp"
-#include "cluster/cancellation_log.hpp"
+#include "coordination/cancellation_log.hpp"
 #include "wire/codec.hpp"
 
-namespace dunebridge::cluster {
+namespace dunebridge::coordination {
 
 // How far a job is, by the leader's ledger.
 struct Progress {
@@ -34,4 +34,4 @@
 std::string encode(const Heartbeat& heartbeat);
 Heartbeat decode_heartbeat(wire::Value body);  // throws wire::DecodeError
 
-}  // namespace dunebridge::cluster
+}  // namespace dunebridge::coordination
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -1,9 +1,9 @@
-#include "cluster/peers.hpp"
+#include "coordination/peer_monitor.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace dunebridge::cluster {
+namespace dunebridge::coordination {
 
 namespace {
 constexpr Millis kEvery{700};
@@ -13,7 +13,7 @@
 constexpr Millis kAnnounceTimeout{400};
 }  // namespace
 
-Peers::Peers(core::Port& port, const core::Config& config, std::function<Heartbeat()> own,
+Peers::Peers(sansio::Port& port, const config::Config& config, std::function<Heartbeat()> own,
              std::function<void(const JobId&)> cancelled)
     : port_(port), config_(config), own_(std::move(own)), cancelled_(std::move(cancelled)) {
     for (const auto& node : config_.known) peers_[node.name];
@@ -48,24 +48,24 @@
     then();
 }
 
-void Peers::send(const core::KnownNode& node, const std::string& heartbeat, Millis timeout,
+void Peers::send(const config::KnownNode& node, const std::string& heartbeat, Millis timeout,
                  std::function<void()> then) {
-    port_.call(core::Service::peer, node.back, "POST", "/hello", heartbeat, timeout,
+    port_.call(sansio::Service::peer, node.back, "POST", "/hello", heartbeat, timeout,
                [this, name = node.name, asked = port_.now(),
-                then = std::move(then)](const core::HttpReply& reply) {
+                then = std::move(then)](const sansio::HttpReply& reply) {
                    if (reply.status == 200) answered(name, reply, asked);
                    then();
                });
 }
 
-void Peers::answered(const NodeName& name, const core::HttpReply& reply, Instant asked) {
+void Peers::answered(const NodeName& name, const sansio::HttpReply& reply, Instant asked) {
     try {
         const auto doc = wire::Document::need(reply.body);
         const auto heartbeat = decode_heartbeat(doc.root());
         if (heartbeat.node == name) follow_log(peers_[name], heartbeat.cancellations, asked);
         heard(heartbeat);
     } catch (const wire::DecodeError& e) {
-        port_.log(core::LogLevel::error, "event=bad_heartbeat from={} error=\"{}\"", name.get(),
+        port_.log(sansio::LogLevel::error, "event=bad_heartbeat from={} error=\"{}\"", name.get(),
                   e.what());
     }
 }
@@ -133,4 +133,4 @@
     });
 }
 
-}  // namespace dunebridge::cluster
+}  // namespace dunebridge::coordination
--- a/src/coordination/peer_monitor.hpp
+++ b/src/coordination/peer_monitor.hpp
@@ -11,15 +11,15 @@
 #include <vector>
 
 #include "base/types.hpp"
-#include "cluster/heartbeat.hpp"
-#include "core/config.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "coordination/peer_heartbeat.hpp"
+#include "sansio/context.hpp"
 
-namespace dunebridge::cluster {
+namespace dunebridge::coordination {
 
 class Peers {
   public:
-    Peers(core::Port& port, const core::Config& config, std::function<Heartbeat()> own,
+    Peers(sansio::Port& port, const config::Config& config, std::function<Heartbeat()> own,
           std::function<void(const JobId&)> cancelled);
 
     void tick();
@@ -62,13 +62,13 @@
     };
     bool recently_heard(const Peer& peer) const;
     std::string own_heartbeat();
-    void send(const core::KnownNode& node, const std::string& heartbeat, Millis timeout,
+    void send(const config::KnownNode& node, const std::string& heartbeat, Millis timeout,
               std::function<void()> then);
-    void answered(const NodeName& name, const core::HttpReply& reply, Instant asked);
+    void answered(const NodeName& name, const sansio::HttpReply& reply, Instant asked);
     void follow_log(Peer& peer, const CancellationLogPart& log, Instant asked);
 
-    core::Port& port_;
-    const core::Config& config_;
+    sansio::Port& port_;
+    const config::Config& config_;
     std::function<Heartbeat()> own_;
     std::function<void(const JobId&)> cancelled_;
     std::unordered_map<NodeName, Peer> peers_;
@@ -79,4 +79,4 @@
     Instant next_{};
 };
 
-}  // namespace dunebridge::cluster
+}  // namespace dunebridge::coordination
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -1,11 +1,11 @@
-#include "state/store.hpp"
+#include "kv/client.hpp"
 
 #include <algorithm>
 
-namespace dunebridge::state {
+namespace dunebridge::kv {
 
-using core::HttpReply;
-using core::Service;
+using sansio::HttpReply;
+using sansio::Service;
 using wire::Document;
 
 namespace {
@@ -100,12 +100,12 @@
 }
 }  // namespace
 
-Store::Store(core::Port& port, const core::Config& config) : port_(port), config_(config) {}
+Store::Store(sansio::Port& port, const config::Config& config) : port_(port), config_(config) {}
 
 Millis Store::silent_for() const { return reachable_ ? Millis(0) : port_.now() - last_good_; }
 
 void Store::call(std::string method, std::string target, std::string body, Millis timeout,
-                 core::Port::Continuation then) {
+                 sansio::Port::Continuation then) {
     const std::string what = target;
     port_.call(Service::state, {}, std::move(method), std::move(target), std::move(body), timeout,
                [this, what, then = std::move(then)](const HttpReply& reply) {
@@ -114,7 +114,7 @@
                    last_answer_ = port_.now();
                    reachable_ = good;
                    if (!good) {
-                       port_.log(core::LogLevel::debug, "event=state_failed status={} target={}",
+                       port_.log(sansio::LogLevel::debug, "event=state_failed status={} target={}",
                                  reply.status, what);
                    }
                    then(reply);
@@ -292,4 +292,4 @@
          [then = std::move(then)](const HttpReply& reply) { then(read_renewal(reply)); });
 }
 
-}  // namespace dunebridge::state
+}  // namespace dunebridge::kv
--- a/src/kv/client.hpp
+++ b/src/kv/client.hpp
@@ -9,11 +9,11 @@
 #include <vector>
 
 #include "base/types.hpp"
-#include "core/config.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "sansio/context.hpp"
 #include "wire/messages.hpp"
 
-namespace dunebridge::state {
+namespace dunebridge::kv {
 
 enum class Outcome : std::uint8_t {
     ok,
@@ -76,7 +76,7 @@
 
 class Store {
   public:
-    Store(core::Port& port, const core::Config& config);
+    Store(sansio::Port& port, const config::Config& config);
 
     void transact(const std::vector<wire::Precondition>& preconditions,
                   const std::vector<wire::Write>& writes, Millis timeout,
@@ -104,21 +104,21 @@
 
   private:
     void call(std::string method, std::string target, std::string body, Millis timeout,
-              core::Port::Continuation then);
+              sansio::Port::Continuation then);
     struct ManyRead;
     void read_many(const std::shared_ptr<ManyRead>& read);
     void read_one(const std::shared_ptr<ManyRead>& read);
-    void take_page(const std::shared_ptr<ManyRead>& read, const core::HttpReply& reply);
+    void take_page(const std::shared_ptr<ManyRead>& read, const sansio::HttpReply& reply);
     void list_page(const std::string& prefix, const std::string& from,
                    const std::shared_ptr<ListResult>& so_far,
                    std::function<void(const ListResult&)> then);
 
-    core::Port& port_;
-    const core::Config& config_;
+    sansio::Port& port_;
+    const config::Config& config_;
     bool reachable_ = true;
     Instant last_good_{};
     Instant last_answer_{};
     bool probing_ = false;
 };
 
-}  // namespace dunebridge::state
+}  // namespace dunebridge::kv
--- a/src/kv/keys.hpp
+++ b/src/kv/keys.hpp
@@ -6,7 +6,7 @@
 
 #include "base/types.hpp"
 
-namespace dunebridge::state {
+namespace dunebridge::kv {
 
 inline constexpr const char* kJobs = "job/";
 inline constexpr const char* kEnds = "end/";
@@ -31,4 +31,4 @@
     return dependency_prefix(id) + std::to_string(part);
 }
 
-}  // namespace dunebridge::state
+}  // namespace dunebridge::kv
--- a/src/kv/records.cpp
+++ b/src/kv/records.cpp
@@ -1,9 +1,9 @@
-#include "state/records.hpp"
+#include "kv/records.hpp"
 
 #include <algorithm>
 #include <string_view>
 
-namespace dunebridge::state {
+namespace dunebridge::kv {
 
 using wire::Writer;
 
@@ -116,4 +116,4 @@
     return parts;
 }
 
-}  // namespace dunebridge::state
+}  // namespace dunebridge::kv
--- a/src/kv/records.hpp
+++ b/src/kv/records.hpp
@@ -11,7 +11,7 @@
 #include "wire/codec.hpp"
 #include "wire/messages.hpp"
 
-namespace dunebridge::state {
+namespace dunebridge::kv {
 
 // A packed record and its size as the protocol counts it, in JSON.
 struct PackedRecord {
@@ -57,4 +57,4 @@
 std::vector<PackedRecord> encode_dependency_parts(const std::vector<JobId>& jobs, bool direct,
                                                   std::size_t most_json);
 
-}  // namespace dunebridge::state
+}  // namespace dunebridge::kv
--- a/src/provisioning/boot_monitor.cpp
+++ b/src/provisioning/boot_monitor.cpp
@@ -1,12 +1,12 @@
-#include "provisioning/startup_monitor.hpp"
+#include "provisioning/boot_monitor.hpp"
 
 #include <algorithm>
 #include <cmath>
 
 namespace dunebridge::provisioning {
 
-using core::LogLevel;
-using core::Machine;
+using sansio::LogLevel;
+using state::Machine;
 
 namespace {
 constexpr double kUnknownStartup_s = 60;
--- a/src/provisioning/boot_monitor.hpp
+++ b/src/provisioning/boot_monitor.hpp
@@ -13,10 +13,10 @@
 #include <map>
 #include <string>
 
-#include "core/ledger.hpp"
-#include "core/port.hpp"
-#include "provisioning/machine_types.hpp"
-#include "provisioning/sizing.hpp"
+#include "provisioning/machine_type_catalog.hpp"
+#include "provisioning/scaling_plan.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
 
 namespace dunebridge::provisioning {
 
@@ -33,7 +33,7 @@
 
 class StartupMonitor {
   public:
-    StartupMonitor(core::Port& port, core::Ledger& ledger, const MachineTypes& types)
+    StartupMonitor(sansio::Port& port, state::Ledger& ledger, const MachineTypes& types)
         : port_(port), ledger_(ledger), types_(types) {}
 
     // Another term begins: what was observed stays, what is under way is judged anew.
@@ -41,9 +41,9 @@
     // Looks at all machines.
     void update();
     // The machine has not come up in time, and another may be rented in its place.
-    bool to_replace(const core::Machine& machine) const;
+    bool to_replace(const state::Machine& machine) const;
     // After so long a machine that has not come up is returned.
-    Millis give_up_after(const core::Machine& machine) const;
+    Millis give_up_after(const state::Machine& machine) const;
     // How many machines may be rented now from the markets that have not delivered lately.
     std::map<Market, std::size_t> allowances() const;
 
@@ -62,14 +62,14 @@
         std::size_t starting = 0;  // and not overdue
     };
 
-    void came_up(core::Machine& machine);
-    void check_overdue(core::Machine& machine);
-    void became_overdue(const core::Machine& machine);
-    double nominal_s(const core::Machine& machine) const;
-    const Health* find(const core::Machine& machine) const;
+    void came_up(state::Machine& machine);
+    void check_overdue(state::Machine& machine);
+    void became_overdue(const state::Machine& machine);
+    double nominal_s(const state::Machine& machine) const;
+    const Health* find(const state::Machine& machine) const;
 
-    core::Port& port_;
-    core::Ledger& ledger_;
+    sansio::Port& port_;
+    state::Ledger& ledger_;
     const MachineTypes& types_;
     std::map<Place, Health> places_;
 };
--- a/src/provisioning/cloud_client.cpp
+++ b/src/provisioning/cloud_client.cpp
@@ -5,9 +5,9 @@
 
 namespace dunebridge::provisioning {
 
-using core::HttpReply;
-using core::LogLevel;
-using core::Service;
+using sansio::HttpReply;
+using sansio::LogLevel;
+using sansio::Service;
 
 namespace {
 constexpr Millis kTimeout{5000};
@@ -18,7 +18,7 @@
 // What the decoder makes of the body of a good reply; none if there is no such reply. Bad bodies
 // are logged under the event's name.
 template <class Decode>
-auto read_reply(core::Port& port, const HttpReply& reply, const char* bad_event, Decode decode)
+auto read_reply(sansio::Port& port, const HttpReply& reply, const char* bad_event, Decode decode)
     -> std::optional<std::invoke_result_t<Decode, wire::Value>> {
     if (reply.status != 200) return std::nullopt;
     try {
@@ -31,7 +31,7 @@
 }
 }  // namespace
 
-CloudClient::CloudClient(core::Port& port, double requests_per_second)
+CloudClient::CloudClient(sansio::Port& port, double requests_per_second)
     : port_(port), budget_(kShare * requests_per_second) {}
 
 bool CloudClient::take_request() {
--- a/src/provisioning/cloud_client.hpp
+++ b/src/provisioning/cloud_client.hpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "base/token_bucket.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::provisioning {
@@ -27,7 +27,7 @@
 
 class CloudClient {
   public:
-    CloudClient(core::Port& port, double requests_per_second);
+    CloudClient(sansio::Port& port, double requests_per_second);
 
     // Takes a request from the budget. If there is none, the core wakes when there will be.
     bool take_request();
@@ -43,9 +43,9 @@
     void delete_machines(const std::vector<HostName>& hosts, std::function<void(bool)> then);
 
   private:
-    RentalResult read_rental(const core::HttpReply& reply);
+    RentalResult read_rental(const sansio::HttpReply& reply);
 
-    core::Port& port_;
+    sansio::Port& port_;
     TokenBucket budget_;
 };
 
--- a/src/provisioning/machine_inventory.cpp
+++ b/src/provisioning/machine_inventory.cpp
@@ -1,4 +1,4 @@
-#include "provisioning/machine_list.hpp"
+#include "provisioning/machine_inventory.hpp"
 
 #include <algorithm>
 #include <optional>
@@ -6,7 +6,7 @@
 
 namespace dunebridge::provisioning {
 
-using core::LogLevel;
+using sansio::LogLevel;
 
 namespace {
 constexpr Millis kEvery{4000};
@@ -15,9 +15,9 @@
 constexpr Millis kPagePause{200};
 }  // namespace
 
-MachineList::MachineList(core::Port& port, CloudClient& cloud, core::Ledger& ledger,
-                         workers::Workers& workers, const core::Config& config,
-                         std::function<void(core::Machine&)> failed)
+MachineList::MachineList(sansio::Port& port, CloudClient& cloud, state::Ledger& ledger,
+                         workers::Workers& workers, const config::Config& config,
+                         std::function<void(state::Machine&)> failed)
     : port_(port),
       cloud_(cloud),
       ledger_(ledger),
--- a/src/provisioning/machine_inventory.hpp
+++ b/src/provisioning/machine_inventory.hpp
@@ -6,21 +6,21 @@
 #include <set>
 #include <string>
 
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
 #include "provisioning/cloud_client.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
 #include "wire/messages.hpp"
-#include "workers/workers.hpp"
+#include "workers/worker_manager.hpp"
 
 namespace dunebridge::provisioning {
 
 class MachineList {
   public:
     // `failed` is called for machines that the cloud reports as failed, once each.
-    MachineList(core::Port& port, CloudClient& cloud, core::Ledger& ledger,
-                workers::Workers& workers, const core::Config& config,
-                std::function<void(core::Machine&)> failed);
+    MachineList(sansio::Port& port, CloudClient& cloud, state::Ledger& ledger,
+                workers::Workers& workers, const config::Config& config,
+                std::function<void(state::Machine&)> failed);
 
     void tick();
     // Another term begins.
@@ -33,12 +33,12 @@
     void take_row(const wire::MachineListing& row);
     void count_missing();
 
-    core::Port& port_;
+    sansio::Port& port_;
     CloudClient& cloud_;
-    core::Ledger& ledger_;
+    state::Ledger& ledger_;
     workers::Workers& workers_;
-    const core::Config& config_;
-    std::function<void(core::Machine&)> failed_;
+    const config::Config& config_;
+    std::function<void(state::Machine&)> failed_;
     bool reading_ = false;
     Instant next_{};
     std::set<HostName> seen_;
--- a/src/provisioning/machine_type_catalog.cpp
+++ b/src/provisioning/machine_type_catalog.cpp
@@ -1,4 +1,4 @@
-#include "provisioning/machine_types.hpp"
+#include "provisioning/machine_type_catalog.hpp"
 
 #include <algorithm>
 #include <optional>
--- a/src/provisioning/machine_type_catalog.hpp
+++ b/src/provisioning/machine_type_catalog.hpp
@@ -4,15 +4,15 @@
 #include <string>
 #include <vector>
 
-#include "core/port.hpp"
 #include "provisioning/cloud_client.hpp"
+#include "sansio/context.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::provisioning {
 
 class MachineTypes {
   public:
-    MachineTypes(core::Port& port, CloudClient& cloud) : port_(port), cloud_(cloud) {}
+    MachineTypes(sansio::Port& port, CloudClient& cloud) : port_(port), cloud_(cloud) {}
 
     // Every node needs them once; the leader follows the prices.
     void tick(bool leads);
@@ -23,7 +23,7 @@
   private:
     void fetch();
 
-    core::Port& port_;
+    sansio::Port& port_;
     CloudClient& cloud_;
     std::vector<wire::MachineType> types_;
     bool fetching_ = false;
--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -7,9 +7,9 @@
 
 namespace dunebridge::provisioning {
 
-using core::JobState;
-using core::LogLevel;
-using core::Machine;
+using sansio::LogLevel;
+using state::JobState;
+using state::Machine;
 
 namespace {
 constexpr Millis kResizeEvery{1000};
@@ -19,8 +19,9 @@
 constexpr double kNoLimit = 1e12;  // cores of a team that has none
 }  // namespace
 
-Provisioner::Provisioner(core::Port& port, cluster::Election& election, core::Ledger& ledger,
-                         workers::Workers& workers, const core::Config& config)
+Provisioner::Provisioner(sansio::Port& port, coordination::Election& election,
+                         state::Ledger& ledger, workers::Workers& workers,
+                         const config::Config& config)
     : port_(port),
       election_(election),
       ledger_(ledger),
@@ -72,7 +73,7 @@
     });
 }
 
-Demand Provisioner::demand_of(const core::Job& job) const {
+Demand Provisioner::demand_of(const state::Job& job) const {
     Demand demand;
     demand.need = job.need();
     demand.spot_allowed = job.spec.spot_allowed;
@@ -158,7 +159,7 @@
 // Workers then share connections, each opened anew for its reports: that is slower, and costs
 // processor time.
 void Provisioner::warn_if_too_large(const SizingInput& input) {
-    const auto places = core::SocketBudget(config_.fd_limit).front;
+    const auto places = config::SocketBudget(config_.fd_limit).front;
     if (input.machines.size() <= places || port_.now() < next_warning_) return;
     next_warning_ = port_.now() + kWarnEvery;
     port_.log(LogLevel::error, "event=too_few_sockets machines={} places={} fd_limit={}",
--- a/src/provisioning/provisioner.hpp
+++ b/src/provisioning/provisioner.hpp
@@ -6,26 +6,26 @@
 #include <string>
 #include <vector>
 
-#include "cluster/election.hpp"
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "coordination/election.hpp"
+#include "provisioning/boot_monitor.hpp"
 #include "provisioning/cloud_client.hpp"
-#include "provisioning/machine_list.hpp"
-#include "provisioning/machine_returns.hpp"
-#include "provisioning/machine_types.hpp"
-#include "provisioning/rentals.hpp"
-#include "provisioning/run_times.hpp"
-#include "provisioning/sizing.hpp"
-#include "provisioning/startup_monitor.hpp"
-#include "workers/workers.hpp"
+#include "provisioning/machine_inventory.hpp"
+#include "provisioning/machine_type_catalog.hpp"
+#include "provisioning/scale_in.hpp"
+#include "provisioning/scale_out.hpp"
+#include "provisioning/scaling_plan.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "state/run_time_estimator.hpp"
+#include "workers/worker_manager.hpp"
 
 namespace dunebridge::provisioning {
 
 class Provisioner {
   public:
-    Provisioner(core::Port& port, cluster::Election& election, core::Ledger& ledger,
-                workers::Workers& workers, const core::Config& config);
+    Provisioner(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
+                workers::Workers& workers, const config::Config& config);
 
     // On every node.
     void tick_types() { types_.tick(election_.is_leader()); }
@@ -36,27 +36,27 @@
 
     const std::vector<wire::MachineType>& types() const { return types_.all(); }
     const wire::MachineType* type(const std::string& name) const { return types_.find(name); }
-    RunTimes& run_times() { return run_times_; }
+    state::RunTimes& run_times() { return run_times_; }
 
   private:
     void resize();
     void observe_load();
     SizingInput sizing_input();
-    Capacity capacity_of(const core::Machine& machine) const;
+    Capacity capacity_of(const state::Machine& machine) const;
     std::vector<Demand> demand() const;
-    Demand demand_of(const core::Job& job) const;
+    Demand demand_of(const state::Job& job) const;
     bool fits_some_machine(const Demand& demand) const;
     void warn_if_too_large(const SizingInput& input);
     void log_sizing(const SizingInput& input, const SizingPlan& plan) const;
 
-    core::Port& port_;
-    cluster::Election& election_;
-    core::Ledger& ledger_;
+    sansio::Port& port_;
+    coordination::Election& election_;
+    state::Ledger& ledger_;
     workers::Workers& workers_;
-    const core::Config& config_;
+    const config::Config& config_;
     CloudClient cloud_;
     MachineTypes types_;
-    RunTimes run_times_;
+    state::RunTimes run_times_;
     StartupMonitor startups_;
     MachineReturns returns_;
     MachineList list_;
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -1,4 +1,4 @@
-#include "provisioning/machine_returns.hpp"
+#include "provisioning/scale_in.hpp"
 
 #include <algorithm>
 #include <iterator>
@@ -6,9 +6,9 @@
 
 namespace dunebridge::provisioning {
 
-using core::JobState;
-using core::LogLevel;
-using core::Machine;
+using sansio::LogLevel;
+using state::JobState;
+using state::Machine;
 
 namespace {
 constexpr Millis kCheckEvery{250};
@@ -52,9 +52,9 @@
 }
 }  // namespace
 
-MachineReturns::MachineReturns(core::Port& port, CloudClient& cloud, core::Ledger& ledger,
+MachineReturns::MachineReturns(sansio::Port& port, CloudClient& cloud, state::Ledger& ledger,
                                workers::Workers& workers, const MachineTypes& types,
-                               const StartupMonitor& startups, const core::Config& config)
+                               const StartupMonitor& startups, const config::Config& config)
     : port_(port),
       cloud_(cloud),
       ledger_(ledger),
--- a/src/provisioning/scale_in.hpp
+++ b/src/provisioning/scale_in.hpp
@@ -8,13 +8,13 @@
 #include <optional>
 #include <set>
 
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "provisioning/boot_monitor.hpp"
 #include "provisioning/cloud_client.hpp"
-#include "provisioning/machine_types.hpp"
-#include "provisioning/startup_monitor.hpp"
-#include "workers/workers.hpp"
+#include "provisioning/machine_type_catalog.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "workers/worker_manager.hpp"
 
 namespace dunebridge::provisioning {
 
@@ -34,34 +34,34 @@
 
 class MachineReturns {
   public:
-    MachineReturns(core::Port& port, CloudClient& cloud, core::Ledger& ledger,
+    MachineReturns(sansio::Port& port, CloudClient& cloud, state::Ledger& ledger,
                    workers::Workers& workers, const MachineTypes& types,
-                   const StartupMonitor& startups, const core::Config& config);
+                   const StartupMonitor& startups, const config::Config& config);
 
     // Another term begins.
     void reset();
     // Looks for machines to be given up, now and then.
     void check();
     // The machine is to be deleted.
-    void give_up(core::Machine& machine, ReturnReason why);
+    void give_up(state::Machine& machine, ReturnReason why);
     void send_deletions();
 
   private:
     void count_silent();
-    void check_machine(core::Machine& machine);
-    std::optional<ReturnReason> why_give_up_unreported(const core::Machine& machine) const;
-    std::optional<ReturnReason> why_give_up_reported(const core::Machine& machine) const;
-    bool holds_cancelled_tasks_too_long(const core::Machine& machine) const;
-    void save_tasks(core::Machine& machine);
+    void check_machine(state::Machine& machine);
+    std::optional<ReturnReason> why_give_up_unreported(const state::Machine& machine) const;
+    std::optional<ReturnReason> why_give_up_reported(const state::Machine& machine) const;
+    bool holds_cancelled_tasks_too_long(const state::Machine& machine) const;
+    void save_tasks(state::Machine& machine);
     Millis patience() const;
 
-    core::Port& port_;
+    sansio::Port& port_;
     CloudClient& cloud_;
-    core::Ledger& ledger_;
+    state::Ledger& ledger_;
     workers::Workers& workers_;
     const MachineTypes& types_;
     const StartupMonitor& startups_;
-    const core::Config& config_;
+    const config::Config& config_;
     std::set<HostName> given_up_;  // machines to be deleted
     bool deleting_ = false;
     Instant next_deletion_{};
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -1,4 +1,4 @@
-#include "provisioning/rentals.hpp"
+#include "provisioning/scale_out.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -6,7 +6,7 @@
 
 namespace dunebridge::provisioning {
 
-using core::LogLevel;
+using sansio::LogLevel;
 
 namespace {
 constexpr Millis kRetry{1000};
@@ -23,8 +23,8 @@
 }
 }  // namespace
 
-Rentals::Rentals(core::Port& port, CloudClient& cloud, cluster::Election& election,
-                 core::Ledger& ledger, workers::Workers& workers, const core::Config& config)
+Rentals::Rentals(sansio::Port& port, CloudClient& cloud, coordination::Election& election,
+                 state::Ledger& ledger, workers::Workers& workers, const config::Config& config)
     : port_(port),
       cloud_(cloud),
       election_(election),
--- a/src/provisioning/scale_out.hpp
+++ b/src/provisioning/scale_out.hpp
@@ -8,20 +8,20 @@
 #include <set>
 #include <string>
 
-#include "cluster/election.hpp"
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "coordination/election.hpp"
 #include "provisioning/cloud_client.hpp"
-#include "provisioning/sizing.hpp"
-#include "workers/workers.hpp"
+#include "provisioning/scaling_plan.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "workers/worker_manager.hpp"
 
 namespace dunebridge::provisioning {
 
 class Rentals {
   public:
-    Rentals(core::Port& port, CloudClient& cloud, cluster::Election& election, core::Ledger& ledger,
-            workers::Workers& workers, const core::Config& config);
+    Rentals(sansio::Port& port, CloudClient& cloud, coordination::Election& election,
+            state::Ledger& ledger, workers::Workers& workers, const config::Config& config);
 
     // Another term begins.
     void reset();
@@ -45,12 +45,12 @@
     void answered(const wire::RentalRequest& request, const RentalResult& result);
     void refused(const Market& market);
 
-    core::Port& port_;
+    sansio::Port& port_;
     CloudClient& cloud_;
-    cluster::Election& election_;
-    core::Ledger& ledger_;
+    coordination::Election& election_;
+    state::Ledger& ledger_;
     workers::Workers& workers_;
-    const core::Config& config_;
+    const config::Config& config_;
     std::set<std::string> in_flight_;          // idempotency keys
     std::map<std::string, Instant> retry_at_;  // by idempotency key
     std::map<Market, Refusal> refusals_;
--- a/src/provisioning/scaling_plan.cpp
+++ b/src/provisioning/scaling_plan.cpp
@@ -1,4 +1,4 @@
-#include "provisioning/sizing.hpp"
+#include "provisioning/scaling_plan.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/sansio/context.hpp
+++ b/src/sansio/context.hpp
@@ -15,7 +15,7 @@
 
 #include "base/types.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::sansio {
 
 enum class Service : std::uint8_t { state, cloud, worker, peer };
 enum class LogLevel : std::uint8_t { error, info, debug };
@@ -152,4 +152,4 @@
     Effects effects_;
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::sansio
--- a/src/scheduler/bin_packing.cpp
+++ b/src/scheduler/bin_packing.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/placement.hpp"
+#include "scheduler/bin_packing.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -1,4 +1,4 @@
-#include "scheduler/waiting_list.hpp"
+#include "scheduler/pending_queue.hpp"
 
 #include <algorithm>
 #include <string_view>
@@ -6,8 +6,8 @@
 
 namespace dunebridge::scheduler {
 
-using core::Job;
-using core::JobState;
+using state::Job;
+using state::JobState;
 
 namespace {
 constexpr double kNoDeadline_s = 3600;
@@ -18,8 +18,8 @@
 constexpr Millis kAged{90000};
 }  // namespace
 
-WaitingList::WaitingList(core::Port& port, core::Ledger& ledger,
-                         const provisioning::RunTimes& run_times, const core::Config& config)
+WaitingList::WaitingList(sansio::Port& port, state::Ledger& ledger,
+                         const state::RunTimes& run_times, const config::Config& config)
     : port_(port), ledger_(ledger), run_times_(run_times), config_(config) {
     const auto lower = [](std::optional<double>& least_s, double within_s) {
         least_s = std::min(least_s.value_or(within_s), within_s);
@@ -80,8 +80,8 @@
                                  [](const auto& team) { return team.cpus > 0 || team.gpus > 0; });
     if (!any) return;
     struct TeamSum {
-        const core::Team* team = nullptr;
-        core::TeamUse wanted;
+        const config::Team* team = nullptr;
+        state::TeamUse wanted;
     };
     std::map<std::string_view, TeamSum> sums;
     for (const auto& team : config_.teams) sums[team.name].team = &team;
@@ -116,7 +116,7 @@
     // A start counts once the image is there; and the users' estimates are often wrong by half.
     const double fetch_s = job.spec.image_gb / kFetchGuess_gb_per_s;
     const double run_s =
-        std::max(run_times_.expected_s(job), job.spec.expected_s) * core::kEstimateUncertainty;
+        std::max(run_times_.expected_s(job), job.spec.expected_s) * state::kEstimateUncertainty;
     const auto wait_s = std::max(0.0, within_s - fetch_s - kStop_s);
     const auto latest = job.ready_at + from_seconds(wait_s);
     if (job.end_by == Instant::max()) return latest;
--- a/src/scheduler/pending_queue.hpp
+++ b/src/scheduler/pending_queue.hpp
@@ -11,15 +11,15 @@
 #include <tuple>
 #include <vector>
 
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
-#include "provisioning/run_times.hpp"
+#include "config/config.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "state/run_time_estimator.hpp"
 
 namespace dunebridge::scheduler {
 
 struct WaitingJob {
-    core::Job* job = nullptr;
+    state::Job* job = nullptr;
     bool guaranteed = false;  // within its team's guarantee
     bool aged = false;        // has waited long without a single task begun
     Instant due{};
@@ -29,15 +29,15 @@
 
 class WaitingList {
   public:
-    WaitingList(core::Port& port, core::Ledger& ledger, const provisioning::RunTimes& run_times,
-                const core::Config& config);
+    WaitingList(sansio::Port& port, state::Ledger& ledger, const state::RunTimes& run_times,
+                const config::Config& config);
 
     // The jobs with tasks that may be placed now, in order.
     std::vector<WaitingJob> jobs();
     // Until then the job's aims can be met without preemption.
     Instant start_by(const WaitingJob& waiting) const;
     // Whether the job may preempt, and is not preempted itself.
-    bool high(const core::Job& job) const;
+    bool high(const state::Job& job) const;
 
   private:
     // What the settings ask of a class of jobs, in seconds from when it may start.
@@ -47,14 +47,14 @@
     };
 
     void mark_guaranteed(std::vector<WaitingJob>& waiting) const;
-    std::vector<const core::Job*> open_jobs() const;
-    const ClassAims& aims(const core::Job& job) const;
-    Instant due(const core::Job& job) const;
-
-    core::Port& port_;
-    core::Ledger& ledger_;
-    const provisioning::RunTimes& run_times_;
-    const core::Config& config_;
+    std::vector<const state::Job*> open_jobs() const;
+    const ClassAims& aims(const state::Job& job) const;
+    Instant due(const state::Job& job) const;
+
+    sansio::Port& port_;
+    state::Ledger& ledger_;
+    const state::RunTimes& run_times_;
+    const config::Config& config_;
     std::map<std::string, ClassAims> aims_;  // by job class
     std::optional<double> guarantee_s_;
 };
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -8,10 +8,10 @@
 
 namespace dunebridge::scheduler {
 
-using core::Job;
-using core::JobState;
-using core::Machine;
-using core::Placement;
+using state::Job;
+using state::JobState;
+using state::Machine;
+using state::Placement;
 
 namespace {
 
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-Scheduler::Scheduler(core::Port& port, core::Ledger& ledger, workers::Workers& workers,
-                     const provisioning::RunTimes& run_times, const core::Config& config)
+Scheduler::Scheduler(sansio::Port& port, state::Ledger& ledger, workers::Workers& workers,
+                     const state::RunTimes& run_times, const config::Config& config)
     : port_(port),
       ledger_(ledger),
       workers_(workers),
@@ -261,7 +261,7 @@
         workers_.stop(*machines_[i], *victim, saves ? victim->job->spec.checkpoint_s + 1 : 0);
         rooms_[i].later = later;
         promise(i);
-        port_.log(core::LogLevel::info, "event=preempt victim={} for={} host={}",
+        port_.log(sansio::LogLevel::info, "event=preempt victim={} for={} host={}",
                   victim->ref().str(), job.spec.id.get(), machines_[i]->host.get());
     }
     if (tasks > 0 && !alone) exhausted_.insert(kind_of(job));
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -10,20 +10,20 @@
 #include <tuple>
 #include <vector>
 
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
-#include "provisioning/run_times.hpp"
-#include "scheduler/placement.hpp"
-#include "scheduler/waiting_list.hpp"
-#include "workers/workers.hpp"
+#include "config/config.hpp"
+#include "sansio/context.hpp"
+#include "scheduler/bin_packing.hpp"
+#include "scheduler/pending_queue.hpp"
+#include "state/cluster_state.hpp"
+#include "state/run_time_estimator.hpp"
+#include "workers/worker_manager.hpp"
 
 namespace dunebridge::scheduler {
 
 class Scheduler {
   public:
-    Scheduler(core::Port& port, core::Ledger& ledger, workers::Workers& workers,
-              const provisioning::RunTimes& run_times, const core::Config& config);
+    Scheduler(sansio::Port& port, state::Ledger& ledger, workers::Workers& workers,
+              const state::RunTimes& run_times, const config::Config& config);
 
     // One pass: places what waits, and stops what must make room. Returns how many jobs waited.
     std::size_t run();
@@ -33,34 +33,34 @@
     using Kind = std::tuple<double, double, double, bool, std::optional<std::string>,
                             std::optional<std::vector<std::string>>>;
 
-    Kind kind_of(const core::Job& job) const;
+    Kind kind_of(const state::Job& job) const;
     void find_rooms(const std::vector<WaitingJob>& waiting);
-    void add_room(core::Machine& machine);
-    double earliest_s(const core::Machine& machine) const;
-    std::size_t quota_left(const core::Job& job) const;
-    bool allowed(const core::Job& job, const core::Machine& machine) const;
+    void add_room(state::Machine& machine);
+    double earliest_s(const state::Machine& machine) const;
+    std::size_t quota_left(const state::Job& job) const;
+    bool allowed(const state::Job& job, const state::Machine& machine) const;
     void place(const WaitingJob& waiting);
     void begin(const WaitingJob& waiting);
-    void keep_machine(const core::Job& job);
-    std::size_t fill(core::Job& job, std::size_t most);
-    void make_room(const core::Job& job, std::size_t tasks);
+    void keep_machine(const state::Job& job);
+    std::size_t fill(state::Job& job, std::size_t most);
+    void make_room(const state::Job& job, std::size_t tasks);
     void find_victims();
 
-    core::Port& port_;
-    core::Ledger& ledger_;
+    sansio::Port& port_;
+    state::Ledger& ledger_;
     workers::Workers& workers_;
-    const provisioning::RunTimes& run_times_;
-    const core::Config& config_;
+    const state::RunTimes& run_times_;
+    const config::Config& config_;
     WaitingList waiting_list_;
 
     // Of the pass under way.
-    std::vector<core::Machine*> machines_;
+    std::vector<state::Machine*> machines_;
     std::vector<Room> rooms_;
-    std::vector<core::Machine*> full_machines_;  // without room for any waiting task
-    std::set<Kind> nowhere_;                     // fit no machine now
-    std::set<Kind> exhausted_;                   // nor does stopping others help them
+    std::vector<state::Machine*> full_machines_;  // without room for any waiting task
+    std::set<Kind> nowhere_;                      // fit no machine now
+    std::set<Kind> exhausted_;                    // nor does stopping others help them
     struct Victim {
-        core::Placement* placement;
+        state::Placement* placement;
         std::size_t room;
     };
     std::optional<std::vector<Victim>> victims_;
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -1,21 +1,21 @@
-#include "core/ledger.hpp"
+#include "state/cluster_state.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/task_ranges.hpp"
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
+#include "state/task_ranges.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
-using state::kRentals;
+using kv::kRentals;
 
 namespace {
 // Sums of decimals must not leave a remainder that looks like use.
 constexpr double kLeastUse = 1e-9;
 }  // namespace
 
-Ledger::Ledger(Port& port, state::Store& store, const cluster::Election& election)
+Ledger::Ledger(sansio::Port& port, kv::Store& store, const coordination::Election& election)
     : port_(port),
       election_(election),
       dependencies_(port, store, jobs_,
@@ -45,13 +45,13 @@
     dirty_.clear();
     stored_.clear();
     dependencies_.clear();
-    format_ = state::kChunkFormat;
+    format_ = config::kChunkFormat;
     committing_ = false;
 }
 
 // ---- jobs ----
 
-Job* Ledger::add_job(state::JobRecord record, KeyRev revision) {
+Job* Ledger::add_job(kv::JobRecord record, KeyRev revision) {
     const auto [it, added] = jobs_.try_emplace(record.spec.id);
     if (!added) return nullptr;
     auto& job = it->second;
@@ -67,7 +67,7 @@
     job.waiting.resize(job.spec.task_count);
     for (std::uint32_t i = 0; i < job.spec.task_count; ++i)
         job.waiting[i] = job.spec.task_count - 1 - i;
-    stored_.set_if_unknown(state::job_key(it->first), revision);
+    stored_.set_if_unknown(kv::job_key(it->first), revision);
     return &job;
 }
 
@@ -96,7 +96,7 @@
     const auto ago = at_ms > 0 ? std::max<std::int64_t>(0, port_.wall_ms() - at_ms) : 0;
     job->ended_at = port_.now() - Millis(ago);
     job->waiting.clear();
-    dirty_.erase(state::end_key(id));
+    dirty_.erase(kv::end_key(id));
     for (auto& task : job->tasks) {
         if (!task.at) continue;
         auto& machine = *task.at->machine;
@@ -120,7 +120,7 @@
 void Ledger::end_if_done(Job& job) {
     if (job.state != JobState::open || job.done != job.spec.task_count) return;
     job.state = JobState::ending;
-    dirty_.mark(state::end_key(job.spec.id), CommitClass::end);
+    dirty_.mark(kv::end_key(job.spec.id), CommitClass::end);
 }
 
 // A job that it depends on is cancelled: it has begun nothing, and ends with it.
@@ -128,9 +128,9 @@
     job.state = JobState::ending;
     job.cancelled_with_dependency = true;
     job.waiting.clear();
-    dirty_.mark(state::end_key(job.spec.id), CommitClass::end);
-    port_.log(LogLevel::info, "event=cancelled_with_dependency id={} term={}", job.spec.id.get(),
-              election_.term().get());
+    dirty_.mark(kv::end_key(job.spec.id), CommitClass::end);
+    port_.log(sansio::LogLevel::info, "event=cancelled_with_dependency id={} term={}",
+              job.spec.id.get(), election_.term().get());
 }
 
 void Ledger::mark_shielded(Job& job, std::uint32_t index) {
@@ -143,7 +143,7 @@
     for (auto it = jobs_.begin(); it != jobs_.end();) {
         auto& job = it->second;
         if (job.state != JobState::ended || job.placed > 0 ||
-            job.parts_read < job.dependency_parts || dirty_.find(state::end_key(it->first))) {
+            job.parts_read < job.dependency_parts || dirty_.find(kv::end_key(it->first))) {
             ++it;
             continue;
         }
@@ -161,9 +161,9 @@
             }
         }
         for (std::uint64_t part = 0; part < dependency_parts; ++part) {
-            dirty_.mark(state::dependency_key(id, part), CommitClass::cadence);
+            dirty_.mark(kv::dependency_key(id, part), CommitClass::cadence);
         }
-        dirty_.mark(state::job_key(id), CommitClass::cadence);
+        dirty_.mark(kv::job_key(id), CommitClass::cadence);
     }
 }
 
@@ -361,8 +361,8 @@
 void Ledger::use_format(std::uint64_t format) {
     if (format <= format_ || !loaded_) return;
     format_ = format;
-    port_.log(LogLevel::info, "event=format version={}", format);
-    dirty_.mark(state::kFormatMark, CommitClass::end);
+    port_.log(sansio::LogLevel::info, "event=format version={}", format);
+    dirty_.mark(kv::kFormatMark, CommitClass::end);
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/cluster_state.hpp
+++ b/src/state/cluster_state.hpp
@@ -17,22 +17,22 @@
 #include <vector>
 
 #include "base/types.hpp"
-#include "cluster/election.hpp"
-#include "core/dependency_graph.hpp"
-#include "core/dirty_records.hpp"
-#include "core/model.hpp"
-#include "core/port.hpp"
-#include "core/stored_records.hpp"
-#include "state/format.hpp"
-#include "state/records.hpp"
-#include "state/store.hpp"
+#include "config/record_format.hpp"
+#include "coordination/election.hpp"
+#include "kv/client.hpp"
+#include "kv/records.hpp"
+#include "sansio/context.hpp"
+#include "state/dependency_graph.hpp"
+#include "state/dirty_records.hpp"
+#include "state/model.hpp"
+#include "state/stored_records.hpp"
 #include "wire/messages.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 class Ledger {
   public:
-    Ledger(Port& port, state::Store& store, const cluster::Election& election);
+    Ledger(sansio::Port& port, kv::Store& store, const coordination::Election& election);
 
     // ---- the term that it is for ----
 
@@ -51,7 +51,7 @@
     // ---- jobs ----
 
     // From its record at that revision; null if the job is known already.
-    Job* add_job(state::JobRecord record, KeyRev revision);
+    Job* add_job(kv::JobRecord record, KeyRev revision);
     // A job of which only progress is left on record: it is over.
     Job& add_ended_job(const JobId& id);
     void mark_cancelled(const JobId& id, std::int64_t at_ms);
@@ -133,8 +133,8 @@
     void leave_rental(const Machine& machine);
     void cancel_with_dependency(Job& job);
 
-    Port& port_;
-    const cluster::Election& election_;
+    sansio::Port& port_;
+    const coordination::Election& election_;
 
     bool loaded_ = false;
     std::uint64_t generation_ = 0;
@@ -150,8 +150,8 @@
 
     DirtyRecords dirty_;
     StoredRecords stored_;
-    std::uint64_t format_ = state::kChunkFormat;
+    std::uint64_t format_ = config::kChunkFormat;
     bool committing_ = false;
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -1,24 +1,24 @@
-#include "core/ledger_loader.hpp"
+#include "state/cluster_state_loader.hpp"
 
 #include <algorithm>
 #include <iterator>
 #include <string_view>
 #include <utility>
 
-#include "core/task_ranges.hpp"
-#include "state/format.hpp"
-#include "state/keys.hpp"
-#include "state/records.hpp"
+#include "config/record_format.hpp"
+#include "kv/keys.hpp"
+#include "kv/records.hpp"
+#include "state/task_ranges.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
-using state::kDependencies;
-using state::kEnds;
-using state::kJobs;
-using state::kProgress;
-using state::kRentals;
-using state::Outcome;
-using state::without_prefix;
+using kv::kDependencies;
+using kv::kEnds;
+using kv::kJobs;
+using kv::kProgress;
+using kv::kRentals;
+using kv::Outcome;
+using kv::without_prefix;
 
 namespace {
 constexpr Millis kCheckTimeout{2500};
@@ -32,8 +32,8 @@
 constexpr Millis kStandAside{20000};
 }  // namespace
 
-LedgerLoader::LedgerLoader(Port& port, state::Store& store, cluster::Election& election,
-                           Ledger& ledger, const Config& config)
+LedgerLoader::LedgerLoader(sansio::Port& port, kv::Store& store, coordination::Election& election,
+                           Ledger& ledger, const config::Config& config)
     : port_(port), store_(store), election_(election), ledger_(ledger), config_(config) {}
 
 void LedgerLoader::load() {
@@ -45,7 +45,7 @@
 void LedgerLoader::load_next(std::size_t step, std::uint64_t generation) {
     struct Step {
         const char* prefix;
-        void (LedgerLoader::*take)(const state::ListResult&);
+        void (LedgerLoader::*take)(const kv::ListResult&);
     };
     static constexpr Step steps[] = {{kJobs, &LedgerLoader::load_jobs},
                                      {kDependencies, &LedgerLoader::load_dependencies},
@@ -58,7 +58,7 @@
         check_ends(std::move(ids), generation);
         return;
     }
-    store_.list(steps[step].prefix, [this, step, generation](const state::ListResult& result) {
+    store_.list(steps[step].prefix, [this, step, generation](const kv::ListResult& result) {
         if (!ledger_.current(generation)) return;
         if (!result.answered) {
             try_again([this, step, generation] { load_next(step, generation); });
@@ -83,14 +83,14 @@
 // A record that cannot be read stops the load: going on without it would lose a job or a task. A
 // node that knows the format may lead meanwhile.
 void LedgerLoader::bad_record(const std::string& key, const std::string& error) {
-    port_.log(LogLevel::error, "event=bad_record key={} error=\"{}\"", key, error);
+    port_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"", key, error);
     election_.resign(kStandAside);
 }
 
 // False if a record could not be read; the load has then been given up.
-bool LedgerLoader::take_rows(const state::ListResult& result,
-                             const std::function<void(const state::Row&)>& take) {
-    const state::Row* current = nullptr;
+bool LedgerLoader::take_rows(const kv::ListResult& result,
+                             const std::function<void(const kv::Row&)>& take) {
+    const kv::Row* current = nullptr;
     try {
         for (const auto& row : result.rows) {
             current = &row;
@@ -103,24 +103,24 @@
     return true;
 }
 
-void LedgerLoader::load_jobs(const state::ListResult& result) {
-    take_rows(result, [this](const state::Row& row) {
-        ledger_.add_job(state::decode_job_record(row.value), row.rev);
+void LedgerLoader::load_jobs(const kv::ListResult& result) {
+    take_rows(result, [this](const kv::Row& row) {
+        ledger_.add_job(kv::decode_job_record(row.value), row.rev);
     });
 }
 
 // Parts of a job that was created after the jobs were read come with the watch.
-void LedgerLoader::load_dependencies(const state::ListResult& result) {
-    take_rows(result, [this](const state::Row& row) {
+void LedgerLoader::load_dependencies(const kv::ListResult& result) {
+    take_rows(result, [this](const kv::Row& row) {
         const auto name = without_prefix(row.key, kDependencies);
         auto* job = ledger_.find_job(JobId(name.substr(0, name.rfind('/'))));
         if (job) take_dependency_part(*job, row);
     });
 }
 
-void LedgerLoader::load_rentals(const state::ListResult& result) {
-    take_rows(result, [this](const state::Row& row) {
-        if (row.key == state::kFormatMark && config_.format >= state::kRangeFormat) {
+void LedgerLoader::load_rentals(const kv::ListResult& result) {
+    take_rows(result, [this](const kv::Row& row) {
+        if (row.key == kv::kFormatMark && config_.format >= config::kRangeFormat) {
             ledger_.restore_format(decode_format_mark(row.value, config_.format));
         } else {
             ledger_.restore_rental(decode_rental_record(row.value));
@@ -129,8 +129,8 @@
     });
 }
 
-void LedgerLoader::load_progress(const state::ListResult& result) {
-    if (!take_rows(result, [this](const state::Row& row) { load_progress_record(row); })) return;
+void LedgerLoader::load_progress(const kv::ListResult& result) {
+    if (!take_rows(result, [this](const kv::Row& row) { load_progress_record(row); })) return;
     for (auto& [id, job] : ledger_.jobs()) {
         complete_ranges(job, ledger_.format());
         std::erase_if(job.waiting, [&, &tasks = job.tasks](std::uint32_t i) {
@@ -142,7 +142,7 @@
     }
 }
 
-void LedgerLoader::load_progress_record(const state::Row& row) {
+void LedgerLoader::load_progress_record(const kv::Row& row) {
     const auto record = decode_progress(row, config_.format);
     ledger_.stored().set(row.key, row.rev);
     // Where the job is over and its record gone, what was recorded counts until proved gone.
@@ -176,35 +176,36 @@
     }
     const auto n = std::min(ids.size(), store_.max_preconditions() / 2);
     std::vector<wire::Precondition> preconditions;
-    for (std::size_t i = 0; i < n; ++i) preconditions.push_back({state::end_key(ids[i]), KeyRev()});
-    store_.transact(preconditions, {}, kCheckTimeout,
-                    [this, ids = std::move(ids), n,
-                     generation](const state::TransactionResult& result) mutable {
-                        if (!ledger_.current(generation)) return;
-                        if (result.outcome == Outcome::ok) {
-                            ids.erase(ids.begin(), ids.begin() + static_cast<std::ptrdiff_t>(n));
-                            check_ends(std::move(ids), generation);
-                            return;
-                        }
-                        if (result.outcome != Outcome::conflict || result.failed.empty()) {
-                            try_again([this, ids = std::move(ids), generation]() mutable {
-                                check_ends(std::move(ids), generation);
-                            });
-                            return;
-                        }
-                        for (const auto& key : result.failed) {
-                            const JobId id(without_prefix(key, kEnds));
-                            ledger_.mark_cancelled(id, port_.wall_ms());
-                            std::erase(ids, id);
-                        }
-                        check_ends(std::move(ids), generation);
-                    });
+    for (std::size_t i = 0; i < n; ++i) preconditions.push_back({kv::end_key(ids[i]), KeyRev()});
+    store_.transact(
+        preconditions, {}, kCheckTimeout,
+        [this, ids = std::move(ids), n, generation](const kv::TransactionResult& result) mutable {
+            if (!ledger_.current(generation)) return;
+            if (result.outcome == Outcome::ok) {
+                ids.erase(ids.begin(), ids.begin() + static_cast<std::ptrdiff_t>(n));
+                check_ends(std::move(ids), generation);
+                return;
+            }
+            if (result.outcome != Outcome::conflict || result.failed.empty()) {
+                try_again([this, ids = std::move(ids), generation]() mutable {
+                    check_ends(std::move(ids), generation);
+                });
+                return;
+            }
+            for (const auto& key : result.failed) {
+                const JobId id(without_prefix(key, kEnds));
+                ledger_.mark_cancelled(id, port_.wall_ms());
+                std::erase(ids, id);
+            }
+            check_ends(std::move(ids), generation);
+        });
 }
 
 void LedgerLoader::finish(std::uint64_t generation) {
     ledger_.set_loaded();
     link_dependencies();
-    port_.log(LogLevel::info, "event=ledger_loaded term={} jobs={} machines={} open_rentals={}",
+    port_.log(sansio::LogLevel::info,
+              "event=ledger_loaded term={} jobs={} machines={} open_rentals={}",
               election_.term().get(), ledger_.jobs().size(), ledger_.machines().size(),
               ledger_.open_rentals().size());
     watch(kJobs, load_revision_, generation);
@@ -215,7 +216,7 @@
 void LedgerLoader::link_dependencies() {
     for (auto& [id, job] : ledger_.jobs()) {
         if (job.state == JobState::open && job.parts_read < job.dependency_parts) {
-            bad_record(state::dependency_prefix(id), "parts are missing");
+            bad_record(kv::dependency_prefix(id), "parts are missing");
             return;
         }
         ledger_.dependencies().add(job);
@@ -229,44 +230,45 @@
     const bool ends = prefix == std::string_view(kEnds);
     const auto wait =
         ends ? std::clamp(config_.max_unsure() / 4, kLeastWait, kWatchWait) : kWatchWait;
-    store_.watch(prefix, from, wait,
-                 [this, prefix, from, generation, ends,
-                  asked = port_.now()](const state::WatchResult& result) {
-                     if (!ledger_.current(generation)) return;
-                     if (result.kind == state::WatchResult::Kind::too_old) {
-                         election_.renew_term();
-                         return;
-                     }
-                     const bool failed = result.kind == state::WatchResult::Kind::failed;
-                     for (const auto& change : result.changes) apply_change(change);
-                     if (ends && !failed) ends_read_at_ = std::max(ends_read_at_, asked);
-                     port_.after(failed ? kWatchRetry : kWatchPause,
-                                 [this, prefix, generation, next = failed ? from : result.rev] {
-                                     if (ledger_.current(generation)) {
-                                         watch(prefix, next, generation);
-                                     }
-                                 });
-                 });
+    store_.watch(
+        prefix, from, wait,
+        [this, prefix, from, generation, ends, asked = port_.now()](const kv::WatchResult& result) {
+            if (!ledger_.current(generation)) return;
+            if (result.kind == kv::WatchResult::Kind::too_old) {
+                election_.renew_term();
+                return;
+            }
+            const bool failed = result.kind == kv::WatchResult::Kind::failed;
+            for (const auto& change : result.changes) apply_change(change);
+            if (ends && !failed) ends_read_at_ = std::max(ends_read_at_, asked);
+            port_.after(failed ? kWatchRetry : kWatchPause,
+                        [this, prefix, generation, next = failed ? from : result.rev] {
+                            if (ledger_.current(generation)) {
+                                watch(prefix, next, generation);
+                            }
+                        });
+        });
 }
 
-void LedgerLoader::apply_change(const state::Change& change) {
+void LedgerLoader::apply_change(const kv::Change& change) {
     if (change.removed) return;
     if (change.key.starts_with(kJobs)) {
         add_new_job(change);
     } else if (change.key.starts_with(kEnds)) {
         const JobId id(without_prefix(change.key, kEnds));
-        const auto end = state::decode_end(change.value);
+        const auto end = kv::decode_end(change.value);
         ledger_.mark_cancelled(id, end.at_ms);
         ledger_.ended(id, end.phase);
     }
 }
 
-void LedgerLoader::add_new_job(const state::Change& change) {
+void LedgerLoader::add_new_job(const kv::Change& change) {
     Job* job = nullptr;
     try {
-        job = ledger_.add_job(state::decode_job_record(change.value), change.rev);
+        job = ledger_.add_job(kv::decode_job_record(change.value), change.rev);
     } catch (const wire::DecodeError& e) {
-        port_.log(LogLevel::error, "event=bad_record key={} error=\"{}\"", change.key, e.what());
+        port_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"", change.key,
+                  e.what());
         return;
     }
     if (!job) return;
@@ -278,8 +280,8 @@
     }
 }
 
-void LedgerLoader::take_dependency_part(Job& job, const state::Row& row) {
-    const auto part = state::decode_dependency_part(row.value);
+void LedgerLoader::take_dependency_part(Job& job, const kv::Row& row) {
+    const auto part = kv::decode_dependency_part(row.value);
     ++job.parts_read;
     ledger_.stored().set(row.key, row.rev);
     if (!part.direct) return;
@@ -289,25 +291,24 @@
 
 // They were created with the job's record.
 void LedgerLoader::read_dependencies(const JobId& id, std::uint64_t generation) {
-    store_.list(state::dependency_prefix(id),
-                [this, id, generation](const state::ListResult& parts) {
-                    if (!ledger_.current(generation)) return;
-                    auto* job = ledger_.find_job(id);
-                    if (!job) return;
-                    if (!parts.answered || parts.rows.size() != job->dependency_parts) {
-                        port_.after(kReadAgain, [this, id, generation] {
-                            if (ledger_.current(generation)) read_dependencies(id, generation);
-                        });
-                        return;
-                    }
-                    try {
-                        for (const auto& row : parts.rows) take_dependency_part(*job, row);
-                    } catch (const wire::DecodeError& e) {
-                        bad_record(state::dependency_prefix(id), e.what());
-                        return;
-                    }
-                    ledger_.dependencies().add(*job);
-                });
+    store_.list(kv::dependency_prefix(id), [this, id, generation](const kv::ListResult& parts) {
+        if (!ledger_.current(generation)) return;
+        auto* job = ledger_.find_job(id);
+        if (!job) return;
+        if (!parts.answered || parts.rows.size() != job->dependency_parts) {
+            port_.after(kReadAgain, [this, id, generation] {
+                if (ledger_.current(generation)) read_dependencies(id, generation);
+            });
+            return;
+        }
+        try {
+            for (const auto& row : parts.rows) take_dependency_part(*job, row);
+        } catch (const wire::DecodeError& e) {
+            bad_record(kv::dependency_prefix(id), e.what());
+            return;
+        }
+        ledger_.dependencies().add(*job);
+    });
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/cluster_state_loader.hpp
+++ b/src/state/cluster_state_loader.hpp
@@ -8,19 +8,19 @@
 #include <string>
 #include <vector>
 
-#include "cluster/election.hpp"
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
-#include "core/record_codec.hpp"
-#include "state/store.hpp"
+#include "config/config.hpp"
+#include "coordination/election.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "state/record_codec.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 class LedgerLoader {
   public:
-    LedgerLoader(Port& port, state::Store& store, cluster::Election& election, Ledger& ledger,
-                 const Config& config);
+    LedgerLoader(sansio::Port& port, kv::Store& store, coordination::Election& election,
+                 Ledger& ledger, const config::Config& config);
 
     // Begins the ledger anew; it is loaded once everything has been read.
     void load();
@@ -29,13 +29,12 @@
 
   private:
     void load_next(std::size_t step, std::uint64_t generation);
-    bool take_rows(const state::ListResult& result,
-                   const std::function<void(const state::Row&)>& take);
-    void load_jobs(const state::ListResult& result);
-    void load_dependencies(const state::ListResult& result);
-    void load_rentals(const state::ListResult& result);
-    void load_progress(const state::ListResult& result);
-    void load_progress_record(const state::Row& row);
+    bool take_rows(const kv::ListResult& result, const std::function<void(const kv::Row&)>& take);
+    void load_jobs(const kv::ListResult& result);
+    void load_dependencies(const kv::ListResult& result);
+    void load_rentals(const kv::ListResult& result);
+    void load_progress(const kv::ListResult& result);
+    void load_progress_record(const kv::Row& row);
     void check_ends(std::vector<JobId> ids, std::uint64_t generation);
     void finish(std::uint64_t generation);
     void link_dependencies();
@@ -43,18 +42,18 @@
     void bad_record(const std::string& key, const std::string& error);
 
     void watch(const char* prefix, KeyRev from, std::uint64_t generation);
-    void apply_change(const state::Change& change);
-    void add_new_job(const state::Change& change);
-    void take_dependency_part(Job& job, const state::Row& row);
+    void apply_change(const kv::Change& change);
+    void add_new_job(const kv::Change& change);
+    void take_dependency_part(Job& job, const kv::Row& row);
     void read_dependencies(const JobId& id, std::uint64_t generation);
 
-    Port& port_;
-    state::Store& store_;
-    cluster::Election& election_;
+    sansio::Port& port_;
+    kv::Store& store_;
+    coordination::Election& election_;
     Ledger& ledger_;
-    const Config& config_;
+    const config::Config& config_;
     KeyRev load_revision_;  // of the first list: watching from here misses nothing
     Instant ends_read_at_{};
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -1,16 +1,16 @@
-#include "core/ledger_committer.hpp"
+#include "state/cluster_state_writer.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "state/keys.hpp"
+#include "kv/keys.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
-using state::kEnds;
-using state::kProgress;
-using state::Outcome;
-using state::without_prefix;
+using kv::kEnds;
+using kv::kProgress;
+using kv::Outcome;
+using kv::without_prefix;
 
 namespace {
 constexpr Millis kCommitEvery{30};
@@ -23,8 +23,9 @@
 constexpr double kWriteShare = 0.6;
 }  // namespace
 
-LedgerCommitter::LedgerCommitter(Port& port, state::Store& store, cluster::Election& election,
-                                 Ledger& ledger, const Config& config)
+LedgerCommitter::LedgerCommitter(sansio::Port& port, kv::Store& store,
+                                 coordination::Election& election, Ledger& ledger,
+                                 const config::Config& config)
     : port_(port),
       election_(election),
       ledger_(ledger),
@@ -78,12 +79,12 @@
     auto writes = std::move(commit.writes);
     transaction_.send(std::move(preconditions), std::move(writes),
                       [this, commit = std::move(commit),
-                       generation = ledger_.generation()](const state::TransactionResult& result) {
+                       generation = ledger_.generation()](const kv::TransactionResult& result) {
                           if (ledger_.current(generation)) finish(commit, result);
                       });
 }
 
-void LedgerCommitter::finish(const Commit& commit, const state::TransactionResult& result) {
+void LedgerCommitter::finish(const Commit& commit, const kv::TransactionResult& result) {
     ledger_.set_committing(false);
     if (result.outcome == Outcome::ok) {
         applied(commit, result.rev);
@@ -91,7 +92,7 @@
     }
     if (result.outcome == Outcome::unknown) {
         // It may be applied at any later time. A new term over the own key fences it off.
-        port_.log(LogLevel::info, "event=commit_lost term={}", election_.term().get());
+        port_.log(sansio::LogLevel::info, "event=commit_lost term={}", election_.term().get());
         election_.renew_term();
         return;
     }
@@ -112,8 +113,8 @@
 void LedgerCommitter::refused_as_too_large(const Commit& commit) {
     const bool first = !limits_lowered_;
     limits_lowered_ = true;
-    port_.log(LogLevel::error, "event=commit_refused writes={} bytes={}", commit.keys.size(),
-              commit.bytes);
+    port_.log(sansio::LogLevel::error, "event=commit_refused writes={} bytes={}",
+              commit.keys.size(), commit.bytes);
     next_commit_ = port_.now() + (first ? kCommitRetry : kRefusedRetry);
 }
 
@@ -160,12 +161,13 @@
     job->ended_at = port_.now();
     const auto how = end_of(*job);
     if (how == wire::JobPhase::done) {
-        port_.log(LogLevel::info, "event=job_done id={} term={}", id.get(), election_.term().get());
+        port_.log(sansio::LogLevel::info, "event=job_done id={} term={}", id.get(),
+                  election_.term().get());
     }
     ledger_.ended(id, how);
 }
 
-void LedgerCommitter::conflict(const state::TransactionResult& result) {
+void LedgerCommitter::conflict(const kv::TransactionResult& result) {
     bool explained = false;
     for (const auto& key : result.failed) {
         if (!key.starts_with(kEnds)) continue;
@@ -176,10 +178,11 @@
         ledger_.dependencies().read_end(id);
     }
     if (explained) return;
-    port_.log(LogLevel::info, "event=commit_conflict term={} key={} of={}", election_.term().get(),
-              result.failed.empty() ? "" : result.failed.front(), result.failed.size());
+    port_.log(sansio::LogLevel::info, "event=commit_conflict term={} key={} of={}",
+              election_.term().get(), result.failed.empty() ? "" : result.failed.front(),
+              result.failed.size());
     // The leader key has changed. Standing again over the old revision fails if another leads.
     election_.renew_term();
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/cluster_state_writer.hpp
+++ b/src/state/cluster_state_writer.hpp
@@ -6,21 +6,21 @@
 #pragma once
 
 #include "base/token_bucket.hpp"
-#include "cluster/election.hpp"
-#include "core/commit_builder.hpp"
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/ledger_transaction.hpp"
-#include "core/port.hpp"
-#include "core/record_replacements.hpp"
-#include "state/store.hpp"
+#include "config/config.hpp"
+#include "coordination/election.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "state/record_replacements.hpp"
+#include "state/retried_transaction.hpp"
+#include "state/transaction_builder.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 class LedgerCommitter {
   public:
-    LedgerCommitter(Port& port, state::Store& store, cluster::Election& election, Ledger& ledger,
-                    const Config& config);
+    LedgerCommitter(sansio::Port& port, kv::Store& store, coordination::Election& election,
+                    Ledger& ledger, const config::Config& config);
 
     // Another term begins, or this node leads no more: the transaction under way is forgotten.
     void reset();
@@ -29,17 +29,17 @@
 
   private:
     void send(Commit commit, double budget);
-    void finish(const Commit& commit, const state::TransactionResult& result);
+    void finish(const Commit& commit, const kv::TransactionResult& result);
     void applied(const Commit& commit, KeyRev revision);
     void progress_committed(const std::string& key);
     void end_committed(const JobId& id);
-    void conflict(const state::TransactionResult& result);
+    void conflict(const kv::TransactionResult& result);
     void refused_as_too_large(const Commit& commit);
 
-    Port& port_;
-    cluster::Election& election_;
+    sansio::Port& port_;
+    coordination::Election& election_;
     Ledger& ledger_;
-    const Config& config_;
+    const config::Config& config_;
     TokenBucket writes_;
     LedgerTransaction transaction_;
     RecordReplacements replacements_;
@@ -47,4 +47,4 @@
     Instant next_commit_{};
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -1,11 +1,11 @@
-#include "core/dependency_graph.hpp"
+#include "state/dependency_graph.hpp"
 
 #include <algorithm>
 
-#include "state/keys.hpp"
-#include "state/records.hpp"
+#include "kv/keys.hpp"
+#include "kv/records.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 namespace {
 constexpr Millis kReadAgain{500};
@@ -14,7 +14,7 @@
 constexpr Millis kHandover{2000};
 }  // namespace
 
-DependencyGraph::DependencyGraph(Port& port, state::Store& store, std::map<JobId, Job>& jobs,
+DependencyGraph::DependencyGraph(sansio::Port& port, kv::Store& store, std::map<JobId, Job>& jobs,
                                  Callbacks callbacks)
     : port_(port), store_(store), jobs_(jobs), callbacks_(std::move(callbacks)) {}
 
@@ -87,19 +87,19 @@
     for (const auto& id : unread_ends_) names.push_back(id.get());
     reading_ = !names.empty();
     if (names.empty()) return;
-    store_.get_many(state::kEnds, std::move(names), kReadTimeout,
-                    [this, clears = clears_](const state::RowsResult& rows) {
+    store_.get_many(kv::kEnds, std::move(names), kReadTimeout,
+                    [this, clears = clears_](const kv::RowsResult& rows) {
                         if (clears != clears_ || !callbacks_.active()) return;
                         if (rows.answered) take_ends(rows);
                         after(kReadAgain, [this] { read_ends(); });
                     });
 }
 
-void DependencyGraph::take_ends(const state::RowsResult& rows) {
+void DependencyGraph::take_ends(const kv::RowsResult& rows) {
     for (const auto& [key, row] : rows.rows) {
-        const JobId id(state::without_prefix(key, state::kEnds));
+        const JobId id(kv::without_prefix(key, kv::kEnds));
         unread_ends_.erase(id);
-        ended(id, state::decode_end(row.value).phase);
+        ended(id, kv::decode_end(row.value).phase);
     }
     // What is open in the ledger has no end yet; the watch reports it.
     std::erase_if(unread_ends_, [this](const JobId& id) {
@@ -129,4 +129,4 @@
     }
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/dependency_graph.hpp
+++ b/src/state/dependency_graph.hpp
@@ -10,11 +10,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/model.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
+#include "state/model.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 class DependencyGraph {
   public:
@@ -25,7 +25,7 @@
         std::function<void(Job&)> cancel;
     };
 
-    DependencyGraph(Port& port, state::Store& store, std::map<JobId, Job>& jobs,
+    DependencyGraph(sansio::Port& port, kv::Store& store, std::map<JobId, Job>& jobs,
                     Callbacks callbacks);
 
     void clear();
@@ -38,14 +38,14 @@
 
   private:
     void read_ends();
-    void take_ends(const state::RowsResult& rows);
+    void take_ends(const kv::RowsResult& rows);
     void propagate_priority(const Job& from);
     Job* find(const JobId& id);
     // Runs it after the delay, if the graph has not been cleared meanwhile.
     void after(Millis delay, std::function<void()> then);
 
-    Port& port_;
-    state::Store& store_;
+    sansio::Port& port_;
+    kv::Store& store_;
     std::map<JobId, Job>& jobs_;
     Callbacks callbacks_;
     std::unordered_map<JobId, std::vector<JobId>> dependents_;  // open jobs, by what they wait on
@@ -54,4 +54,4 @@
     std::uint64_t clears_ = 0;
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/dirty_records.cpp
+++ b/src/state/dirty_records.cpp
@@ -1,10 +1,10 @@
-#include "core/dirty_records.hpp"
+#include "state/dirty_records.hpp"
 
 #include <algorithm>
 #include <tuple>
 #include <utility>
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 namespace {
 // Between the oldest change of the class `cadence` to a record and its commit.
@@ -82,4 +82,4 @@
     return keys;
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/dirty_records.hpp
+++ b/src/state/dirty_records.hpp
@@ -8,10 +8,10 @@
 #include <vector>
 
 #include "base/types.hpp"
-#include "core/model.hpp"
-#include "core/port.hpp"
+#include "sansio/context.hpp"
+#include "state/model.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 // How soon a change is to be committed; the first go first.
 enum class CommitClass : std::uint8_t {
@@ -30,7 +30,7 @@
 // Every change to the ledger gets a version, which grows as long as the process lives.
 class DirtyRecords {
   public:
-    explicit DirtyRecords(Port& port) : port_(port) {}
+    explicit DirtyRecords(sansio::Port& port) : port_(port) {}
 
     void clear() { records_.clear(); }
     bool empty() const { return records_.empty(); }
@@ -54,9 +54,9 @@
     std::vector<std::string> due();
 
   private:
-    Port& port_;
+    sansio::Port& port_;
     Version version_ = 0;
     std::map<std::string, DirtyRecord> records_;
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -15,7 +15,7 @@
 #include "base/types.hpp"
 #include "wire/messages.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 // Owners' estimates of run times are often wrong by half.
 inline constexpr double kEstimateUncertainty = 1.5;
@@ -230,4 +230,4 @@
     double gpus = 0;
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/record_codec.cpp
+++ b/src/state/record_codec.cpp
@@ -1,13 +1,13 @@
-#include "core/record_codec.hpp"
+#include "state/record_codec.hpp"
 
 #include <algorithm>
 #include <limits>
 #include <map>
 
-#include "state/format.hpp"
-#include "state/keys.hpp"
+#include "config/record_format.hpp"
+#include "kv/keys.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 using wire::DecodeError;
 using wire::Writer;
@@ -45,13 +45,13 @@
 }
 
 void require_chunk_format(wire::Value record) {
-    if (record["v"].count() != state::kChunkFormat)
+    if (record["v"].count() != config::kChunkFormat)
         throw DecodeError(wire::DecodeProblem::unknown_version);
 }
 
 JobId job_of_key(const std::string& key) {
     const auto slash = key.rfind('/');
-    const auto start = std::string_view(state::kProgress).size();
+    const auto start = std::string_view(kv::kProgress).size();
     if (slash == std::string::npos || slash <= start) throw DecodeError("key");
     return JobId(key.substr(start, slash - start));
 }
@@ -71,14 +71,14 @@
 }  // namespace
 
 std::string chunk_key(const JobId& id, std::uint32_t chunk) {
-    return state::kProgress + id.get() + "/" + std::to_string(chunk);
+    return kv::kProgress + id.get() + "/" + std::to_string(chunk);
 }
 
 std::string range_key(const JobId& id, std::uint32_t from, std::uint32_t size) {
-    return state::kProgress + id.get() + "/t" + std::to_string(from) + "+" + std::to_string(size);
+    return kv::kProgress + id.get() + "/t" + std::to_string(from) + "+" + std::to_string(size);
 }
 
-state::PackedRecord encode_progress(const Job& job, const TaskRange& range) {
+kv::PackedRecord encode_progress(const Job& job, const TaskRange& range) {
     const auto from = range.from;
     const auto to = std::min(from + range.size, static_cast<std::uint32_t>(job.tasks.size()));
     const bool chunk = range.key == chunk_key(job.spec.id, from / kTasksPerChunk);
@@ -93,7 +93,7 @@
     if (by_host.empty()) base = 0;
     Writer w;
     w.map(chunk ? 6 : 7);
-    w.text("v").count(chunk ? state::kChunkFormat : state::kRangeFormat);
+    w.text("v").count(chunk ? config::kChunkFormat : config::kRangeFormat);
     w.text("from").count(from);
     if (!chunk) w.text("size").count(range.size);
     w.text("done").text(to_hex(from, to, [&](std::uint32_t i) { return job.tasks[i].done; }));
@@ -108,13 +108,13 @@
     return {w.take(), w.json_size()};
 }
 
-ProgressRecord decode_progress(const state::Row& row, std::uint64_t newest_format) {
+ProgressRecord decode_progress(const kv::Row& row, std::uint64_t newest_format) {
     const auto& value = row.value;
     ProgressRecord record;
     record.job = job_of_key(row.key);
     record.from = static_cast<std::uint32_t>(value["from"].need_count("from"));
     const bool range =
-        value["v"].count() == state::kRangeFormat && newest_format >= state::kRangeFormat;
+        value["v"].count() == config::kRangeFormat && newest_format >= config::kRangeFormat;
     if (!range) require_chunk_format(value);
     record.size =
         range ? static_cast<std::uint32_t>(value["size"].need_count("size")) : kTasksPerChunk;
@@ -127,10 +127,10 @@
     return record;
 }
 
-state::PackedRecord encode_rental(const RentalRecord& rental) {
+kv::PackedRecord encode_rental(const RentalRecord& rental) {
     const auto& request = rental.request;
     Writer w;
-    w.map(rental.answered ? 7 : 6).text("v").count(state::kChunkFormat);
+    w.map(rental.answered ? 7 : 6).text("v").count(config::kChunkFormat);
     w.text("claim").text(request.idempotency_key);
     w.text("shape").text(request.machine_type);
     w.text("region").text(request.zone);
@@ -153,7 +153,7 @@
     return rental;
 }
 
-state::PackedRecord encode_format_mark(std::uint64_t format) {
+kv::PackedRecord encode_format_mark(std::uint64_t format) {
     Writer w;
     w.map(1).text("v").count(format);
     return {w.take(), w.json_size()};
@@ -161,10 +161,10 @@
 
 std::uint64_t decode_format_mark(wire::Value value, std::uint64_t newest_format) {
     const auto format = value["v"].need_count("v");
-    if (format < state::kRangeFormat || format > newest_format) {
+    if (format < config::kRangeFormat || format > newest_format) {
         throw DecodeError(wire::DecodeProblem::unknown_version);
     }
     return format;
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/record_codec.hpp
+++ b/src/state/record_codec.hpp
@@ -7,11 +7,11 @@
 #include <string_view>
 #include <vector>
 
-#include "core/model.hpp"
-#include "state/records.hpp"
-#include "state/store.hpp"
+#include "kv/client.hpp"
+#include "kv/records.hpp"
+#include "state/model.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 // Tasks in one progress record of the older format. Each on a machine of its own takes some 45
 // bytes, so that a full record stays under 16 KiB.
@@ -40,17 +40,17 @@
     std::vector<Placed> placed;
 };
 
-state::PackedRecord encode_progress(const Job& job, const TaskRange& range);
+kv::PackedRecord encode_progress(const Job& job, const TaskRange& range);
 // Reads formats up to the one given. Throws wire::DecodeError.
-ProgressRecord decode_progress(const state::Row& row, std::uint64_t newest_format);
+ProgressRecord decode_progress(const kv::Row& row, std::uint64_t newest_format);
 
-state::PackedRecord encode_rental(const RentalRecord& rental);
+kv::PackedRecord encode_rental(const RentalRecord& rental);
 // Throws wire::DecodeError.
 RentalRecord decode_rental_record(wire::Value value);
 
 // The mark that a format is in force.
-state::PackedRecord encode_format_mark(std::uint64_t format);
+kv::PackedRecord encode_format_mark(std::uint64_t format);
 // Throws wire::DecodeError for a format that is newer than the one given.
 std::uint64_t decode_format_mark(wire::Value value, std::uint64_t newest_format);
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/record_replacements.cpp
+++ b/src/state/record_replacements.cpp
@@ -1,6 +1,6 @@
-#include "core/record_replacements.hpp"
+#include "state/record_replacements.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 void RecordReplacements::clear() {
     parts_.clear();
@@ -34,4 +34,4 @@
     parts_.erase(original);
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/record_replacements.hpp
+++ b/src/state/record_replacements.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "core/model.hpp"
+#include "state/model.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 class RecordReplacements {
   public:
@@ -32,4 +32,4 @@
     std::map<std::string, std::string> originals_;        // by part
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/retried_transaction.cpp
+++ b/src/state/retried_transaction.cpp
@@ -1,14 +1,14 @@
-#include "core/ledger_transaction.hpp"
+#include "state/retried_transaction.hpp"
 
 #include <algorithm>
 
-#include "state/keys.hpp"
-#include "state/records.hpp"
+#include "kv/keys.hpp"
+#include "kv/records.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
-using state::Outcome;
-using state::TransactionResult;
+using kv::Outcome;
+using kv::TransactionResult;
 
 namespace {
 // Most answers come within milliseconds. A copy sent too early costs a few changes of the budget;
@@ -20,7 +20,7 @@
 constexpr int kMaxCopies = 40;
 }  // namespace
 
-LedgerTransaction::LedgerTransaction(Port& port, state::Store& store, TokenBucket& budget)
+LedgerTransaction::LedgerTransaction(sansio::Port& port, kv::Store& store, TokenBucket& budget)
     : port_(port), store_(store), budget_(budget) {}
 
 void LedgerTransaction::send(std::vector<wire::Precondition> preconditions,
@@ -62,7 +62,7 @@
 void LedgerTransaction::answered(const TransactionResult& result) {
     if (result.outcome == Outcome::unknown) {
         some_lost_ = true;
-        port_.log(LogLevel::info, "event=commit_unknown copies={}", copies_);
+        port_.log(sansio::LogLevel::info, "event=commit_unknown copies={}", copies_);
         copies_ < kMaxCopies ? send_again() : finish(result);
         return;
     }
@@ -95,7 +95,7 @@
     int best_rank = 0;
     for (std::size_t i = 0; i < writes_.size(); ++i) {
         if (!precondition_of(writes_[i])) continue;
-        const bool end = writes_[i].key.starts_with(state::kEnds);
+        const bool end = writes_[i].key.starts_with(kv::kEnds);
         const int rank = end ? 1 : writes_[i].value ? 3 : 2;
         if (rank <= best_rank) continue;
         best = i;
@@ -115,7 +115,7 @@
 // Some precondition has failed for good: revisions only grow and ends stay. So a copy that has not
 // been applied by now never will be.
 void LedgerTransaction::settle_by(std::size_t write, const TransactionResult& conflict) {
-    const auto then = [this, write, conflict](const state::GetResult& result) {
+    const auto then = [this, write, conflict](const kv::GetResult& result) {
         if (!result.answered) {
             after(kRetryAfter, [this, write, conflict] { settle_by(write, conflict); });
             return;
@@ -126,15 +126,14 @@
             ? finish(conflict)
             : confirm_applied(precondition, now);
     };
-    store_.get(writes_[write].key, kTimeout, while_current<state::GetResult>(then));
+    store_.get(writes_[write].key, kTimeout, while_current<kv::GetResult>(then));
 }
 
 // An end that is not the one this transaction sets: a user's cancellation came first.
-bool LedgerTransaction::written_by_a_user(const wire::Write& write,
-                                          const state::GetResult& result) {
-    if (!write.key.starts_with(state::kEnds) || !write.value || !result.row) return false;
+bool LedgerTransaction::written_by_a_user(const wire::Write& write, const kv::GetResult& result) {
+    if (!write.key.starts_with(kv::kEnds) || !write.value || !result.row) return false;
     const auto own = wire::Document::parse(*write.value);
-    return !own || state::decode_end(own->root()) != state::decode_end(result.row->value);
+    return !own || kv::decode_end(own->root()) != kv::decode_end(result.row->value);
 }
 
 // The record has changed. It was this transaction that changed it if this node still leads in the
@@ -160,4 +159,4 @@
     if (done) done(result);
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/retried_transaction.hpp
+++ b/src/state/retried_transaction.hpp
@@ -13,19 +13,19 @@
 #include <vector>
 
 #include "base/token_bucket.hpp"
-#include "core/port.hpp"
-#include "state/store.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
 #include "wire/messages.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 class LedgerTransaction {
   public:
     // Never called with Outcome::unknown unless nothing but a new term can settle the matter.
-    using Done = std::function<void(const state::TransactionResult&)>;
+    using Done = std::function<void(const kv::TransactionResult&)>;
 
     // The budget is charged for what is sent again; the caller charges it for the first copy.
-    LedgerTransaction(Port& port, state::Store& store, TokenBucket& budget);
+    LedgerTransaction(sansio::Port& port, kv::Store& store, TokenBucket& budget);
 
     // The first precondition must be the one on the leader key. Those on records must name the
     // revision at which only this leader can have changed them.
@@ -39,12 +39,12 @@
     void send_again();
     // Goes on after the pause, unless another transaction has begun.
     void after(Millis pause, std::function<void()> then);
-    void answered(const state::TransactionResult& result);
-    void settle(const state::TransactionResult& conflict);
-    void settle_by(std::size_t write, const state::TransactionResult& conflict);
-    static bool written_by_a_user(const wire::Write& write, const state::GetResult& result);
+    void answered(const kv::TransactionResult& result);
+    void settle(const kv::TransactionResult& conflict);
+    void settle_by(std::size_t write, const kv::TransactionResult& conflict);
+    static bool written_by_a_user(const wire::Write& write, const kv::GetResult& result);
     void confirm_applied(const wire::Precondition& precondition, KeyRev now);
-    void finish(const state::TransactionResult& result);
+    void finish(const kv::TransactionResult& result);
     const wire::Precondition* precondition_of(const wire::Write& write) const;
     std::optional<std::size_t> telling_write() const;
     // Wraps a continuation so that it is dropped once another transaction has begun.
@@ -55,8 +55,8 @@
         };
     }
 
-    Port& port_;
-    state::Store& store_;
+    sansio::Port& port_;
+    kv::Store& store_;
     TokenBucket& budget_;
     std::uint64_t sequence_ = 0;
     std::vector<wire::Precondition> preconditions_;
@@ -66,4 +66,4 @@
     bool some_lost_ = false;  // a copy without an answer may yet be applied, or has been
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/run_time_estimator.hpp
+++ b/src/state/run_time_estimator.hpp
@@ -5,18 +5,18 @@
 #include <map>
 #include <string>
 
-#include "core/model.hpp"
+#include "state/model.hpp"
 
-namespace dunebridge::provisioning {
+namespace dunebridge::state {
 
 class RunTimes {
   public:
-    double expected_s(const core::Job& job) const;
+    double expected_s(const state::Job& job) const;
     // A task of the job has run for so long.
-    void learn(const core::Job& job, double ran_s);
+    void learn(const state::Job& job, double ran_s);
 
   private:
     std::map<std::string, double> class_ratio_;  // run time over the estimate, by job class
 };
 
-}  // namespace dunebridge::provisioning
+}  // namespace dunebridge::state
--- a/src/state/stored_records.hpp
+++ b/src/state/stored_records.hpp
@@ -7,7 +7,7 @@
 
 #include "base/types.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 class StoredRecords {
   public:
@@ -30,4 +30,4 @@
     std::unordered_map<std::string, KeyRev> revisions_;
 };
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/task_ranges.cpp
+++ b/src/state/task_ranges.cpp
@@ -1,20 +1,20 @@
-#include "core/task_ranges.hpp"
+#include "state/task_ranges.hpp"
 
 #include <algorithm>
 #include <iterator>
 #include <utility>
 
-#include "core/record_codec.hpp"
-#include "state/format.hpp"
+#include "config/record_format.hpp"
+#include "state/record_codec.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 namespace {
 
 // The range that a task is to be in if it is in none yet.
 TaskRange default_range(const Job& job, std::uint32_t index, std::uint64_t format) {
     const auto task_count = static_cast<std::uint32_t>(job.tasks.size());
-    const bool ranges = format >= state::kRangeFormat;
+    const bool ranges = format >= config::kRangeFormat;
     const auto most = ranges ? kTasksPerRange : kTasksPerChunk;
     const auto from = index / most * most;
     const auto size = std::min(most, task_count - from);
@@ -101,4 +101,4 @@
     job.ranges.insert(where, parts.begin(), parts.end());
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/task_ranges.hpp
+++ b/src/state/task_ranges.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "core/model.hpp"
+#include "state/model.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 // Fills the gaps between the ranges that are on record, so that they hold all of the job's tasks.
 // The format of the ledger that is in force decides how large new ranges are.
@@ -26,4 +26,4 @@
 // Puts the parts in the place of the range with that record.
 void replace_range(Job& job, const std::string& key, const std::vector<TaskRange>& parts);
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -1,19 +1,19 @@
-#include "core/commit_builder.hpp"
+#include "state/transaction_builder.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/record_codec.hpp"
-#include "core/task_ranges.hpp"
-#include "state/format.hpp"
-#include "state/keys.hpp"
+#include "config/record_format.hpp"
+#include "kv/keys.hpp"
+#include "state/record_codec.hpp"
+#include "state/task_ranges.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
-using state::kEnds;
-using state::kProgress;
-using state::kRentals;
-using state::without_prefix;
+using kv::kEnds;
+using kv::kProgress;
+using kv::kRentals;
+using kv::without_prefix;
 
 namespace {
 // After the record of a job's tasks has grown too large for another placement.
@@ -24,7 +24,7 @@
 constexpr std::size_t kOverheadBytes = 192;
 
 std::size_t size_in_transaction(const std::string& key,
-                                const std::optional<state::PackedRecord>& record) {
+                                const std::optional<kv::PackedRecord>& record) {
     return kOverheadBytes + key.size() + (record ? record->json_size : 0);
 }
 }  // namespace
@@ -40,7 +40,7 @@
     return job.cancelled_with_dependency ? wire::JobPhase::cancelled : wire::JobPhase::done;
 }
 
-CommitBuilder::CommitBuilder(Port& port, Ledger& ledger, RecordReplacements& replacements,
+CommitBuilder::CommitBuilder(sansio::Port& port, Ledger& ledger, RecordReplacements& replacements,
                              CommitLimits limits, wire::Precondition leads)
     : port_(port), ledger_(ledger), replacements_(replacements), limits_(limits) {
     commit_.version = ledger.version();
@@ -52,8 +52,8 @@
     if (key.starts_with(kProgress)) {
         const auto [job, range] = find_recorded_range(ledger_, key);
         if (range) return encode_progress(*job, *range);
-    } else if (key == state::kFormatMark) {
-        if (ledger_.format() < state::kRangeFormat) return std::nullopt;
+    } else if (key == kv::kFormatMark) {
+        if (ledger_.format() < config::kRangeFormat) return std::nullopt;
         return encode_format_mark(ledger_.format());
     } else if (key.starts_with(kRentals)) {
         const auto it = ledger_.rentals().find(without_prefix(key, kRentals));
@@ -61,7 +61,7 @@
     } else if (key.starts_with(kEnds)) {
         const auto* job = ledger_.find_job(JobId(without_prefix(key, kEnds)));
         if (!job) return std::nullopt;
-        return encode(state::EndRecord{end_of(*job), job->spec.task_count, port_.wall_ms()});
+        return encode(kv::EndRecord{end_of(*job), job->spec.task_count, port_.wall_ms()});
     }
     return std::nullopt;
 }
@@ -87,8 +87,9 @@
 
 // The size at which records are split; in the older format they cannot be.
 std::size_t CommitBuilder::value_limit() const {
-    return ledger_.format() >= state::kRangeFormat ? limits_.state.value_bytes()
-                                                   : limits_.state.value_bytes_now(limits_.lowered);
+    return ledger_.format() >= config::kRangeFormat
+               ? limits_.state.value_bytes()
+               : limits_.state.value_bytes_now(limits_.lowered);
 }
 
 // A record that is too large is split, or grows less. False if it can't be written now.
@@ -97,14 +98,15 @@
     postpone_placements(key, record);
     if (!record || record->json_size <= limits_.state.value_bytes_now(limits_.lowered)) return true;
     // It stays as it was; what it adds is never acted on.
-    port_.log(LogLevel::error, "event=record_too_large key={} bytes={}", key, record->json_size);
+    port_.log(sansio::LogLevel::error, "event=record_too_large key={} bytes={}", key,
+              record->json_size);
     return false;
 }
 
 // A range whose record has grown too large becomes several, each of which fits.
 bool CommitBuilder::split(const std::string& key) {
     const auto [job, range] = find_recorded_range(ledger_, key);
-    if (ledger_.format() < state::kRangeFormat || !range || range->size < 2) return false;
+    if (ledger_.format() < config::kRangeFormat || !range || range->size < 2) return false;
     // One that is itself to take the place of another, in the same transaction, does not go first.
     const auto original = replacements_.original_of(key);
     const auto parts = split_range(*job, *range, limits_.state.value_bytes());
@@ -121,7 +123,7 @@
     } else {
         dirty.mark(original, waiting.commit_class);
     }
-    port_.log(LogLevel::info, "event=record_split key={} parts={}", key, parts.size());
+    port_.log(sansio::LogLevel::info, "event=record_split key={} parts={}", key, parts.size());
     split_any_ = true;
     return true;
 }
@@ -192,7 +194,7 @@
     if (key.starts_with(kEnds)) {
         add_precondition_on_end(key);
     } else if (key.starts_with(kProgress) && record && records_new_placements(key)) {
-        add_precondition_on_end(state::end_key(find_recorded_range(ledger_, key).job->spec.id));
+        add_precondition_on_end(kv::end_key(find_recorded_range(ledger_, key).job->spec.id));
     }
     if (!key.starts_with(kEnds)) commit_.preconditions.push_back({key, stored.revision(key)});
     commit_.bytes += size_in_transaction(key, record);
@@ -207,4 +209,4 @@
     return std::move(commit_);
 }
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/state/transaction_builder.hpp
+++ b/src/state/transaction_builder.hpp
@@ -11,15 +11,15 @@
 #include <string>
 #include <vector>
 
-#include "core/ledger.hpp"
-#include "core/model.hpp"
-#include "core/port.hpp"
-#include "core/record_replacements.hpp"
-#include "state/limits.hpp"
-#include "state/records.hpp"
+#include "config/kv_limits.hpp"
+#include "kv/records.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "state/model.hpp"
+#include "state/record_replacements.hpp"
 #include "wire/messages.hpp"
 
-namespace dunebridge::core {
+namespace dunebridge::state {
 
 // A ledger transaction and what it commits.
 struct Commit {
@@ -39,14 +39,14 @@
 // What bounds a transaction at the time.
 struct CommitLimits {
     std::size_t writes = 0;
-    state::Limits state;
+    config::Limits state;
     bool lowered = false;  // the state service has refused a value that fitted before
 };
 
 class CommitBuilder {
   public:
-    CommitBuilder(Port& port, Ledger& ledger, RecordReplacements& replacements, CommitLimits limits,
-                  wire::Precondition leads);
+    CommitBuilder(sansio::Port& port, Ledger& ledger, RecordReplacements& replacements,
+                  CommitLimits limits, wire::Precondition leads);
 
     // Adds the record's changes; false if there is no more room in the transaction.
     bool add(const std::string& key);
@@ -60,7 +60,7 @@
     bool split_any() const { return split_any_; }
 
   private:
-    using Record = state::PackedRecord;
+    using Record = kv::PackedRecord;
 
     std::optional<Record> encode_record(const std::string& key);
     std::size_t value_limit() const;
@@ -72,7 +72,7 @@
     void add_precondition_on_end(const std::string& key);
     bool records_new_placements(const std::string& key);
 
-    Port& port_;
+    sansio::Port& port_;
     Ledger& ledger_;
     RecordReplacements& replacements_;
     const CommitLimits limits_;
@@ -94,4 +94,4 @@
 // How a job ends whose end this leader commits.
 wire::JobPhase end_of(const Job& job);
 
-}  // namespace dunebridge::core
+}  // namespace dunebridge::state
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -1,16 +1,16 @@
-#include "workers/command_sender.hpp"
+#include "workers/command_dispatcher.hpp"
 
 #include <algorithm>
 
-#include "workers/fencing.hpp"
+#include "workers/fencing_token.hpp"
 
 namespace dunebridge::workers {
 
-using core::JobState;
-using core::Machine;
-using core::Placement;
-using core::PlacementKey;
-using core::StartDelivery;
+using state::JobState;
+using state::Machine;
+using state::Placement;
+using state::PlacementKey;
+using state::StartDelivery;
 using wire::Order;
 using wire::TaskPhase;
 using wire::Verb;
@@ -26,14 +26,15 @@
 }
 }  // namespace
 
-CommandSender::CommandSender(core::Port& port, cluster::Election& election, core::Ledger& ledger,
-                             const core::Config& config, ReportProcessor& reports)
+CommandSender::CommandSender(sansio::Port& port, coordination::Election& election,
+                             state::Ledger& ledger, const config::Config& config,
+                             ReportProcessor& reports)
     : port_(port),
       election_(election),
       ledger_(ledger),
       reports_(reports),
       client_(port),
-      max_in_flight_(core::SocketBudget(config.fd_limit).commands) {}
+      max_in_flight_(config::SocketBudget(config.fd_limit).commands) {}
 
 // ---- orders ----
 
@@ -64,7 +65,7 @@
 // Whether a late repeat of a command could start the task's earlier attempt once more.
 bool CommandSender::replaces_exited(const Machine& machine, const Placement& placement) {
     const auto& exited = machine.worker.exited;
-    return std::any_of(exited.begin(), exited.end(), [&](const core::Exited& earlier) {
+    return std::any_of(exited.begin(), exited.end(), [&](const state::Exited& earlier) {
         return earlier.refused_from > machine.worker.fence && earlier.task == placement.ref();
     });
 }
--- a/src/workers/command_dispatcher.hpp
+++ b/src/workers/command_dispatcher.hpp
@@ -8,42 +8,42 @@
 #include <cstddef>
 #include <vector>
 
-#include "cluster/election.hpp"
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/model.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "coordination/election.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "state/model.hpp"
 #include "wire/messages.hpp"
-#include "workers/report_processor.hpp"
+#include "workers/heartbeat_processor.hpp"
 #include "workers/worker_client.hpp"
-#include "workers/worker_state.hpp"
+#include "workers/worker_conditions.hpp"
 
 namespace dunebridge::workers {
 
 class CommandSender {
   public:
-    CommandSender(core::Port& port, cluster::Election& election, core::Ledger& ledger,
-                  const core::Config& config, ReportProcessor& reports);
+    CommandSender(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
+                  const config::Config& config, ReportProcessor& reports);
 
     // Sends to machines for which commands have been requested.
     void tick();
     // What the worker is to do now; what is started counts as sent.
-    std::vector<wire::Order> orders(core::Machine& machine, Channel channel);
+    std::vector<wire::Order> orders(state::Machine& machine, Channel channel);
     // Work that an unresponsive machine certainly has not got goes elsewhere.
-    void drop_all_unsent(core::Machine& machine);
+    void drop_all_unsent(state::Machine& machine);
 
   private:
-    bool add_clears(const core::Machine& machine, std::vector<wire::Order>& orders) const;
-    static void add_stop(const core::Placement& placement, std::vector<wire::Order>& orders);
-    static bool replaces_exited(const core::Machine& machine, const core::Placement& placement);
-    void drop_unsent_to_stop(core::Machine& machine);
-    void drop(core::Machine& machine, bool (*condition)(const core::Placement&));
-    void send(core::Machine& machine);
+    bool add_clears(const state::Machine& machine, std::vector<wire::Order>& orders) const;
+    static void add_stop(const state::Placement& placement, std::vector<wire::Order>& orders);
+    static bool replaces_exited(const state::Machine& machine, const state::Placement& placement);
+    void drop_unsent_to_stop(state::Machine& machine);
+    void drop(state::Machine& machine, bool (*condition)(const state::Placement&));
+    void send(state::Machine& machine);
     void answered(const HostName& host, const CommandResult& result);
 
-    core::Port& port_;
-    cluster::Election& election_;
-    core::Ledger& ledger_;
+    sansio::Port& port_;
+    coordination::Election& election_;
+    state::Ledger& ledger_;
     ReportProcessor& reports_;
     WorkerClient client_;
     std::size_t in_flight_ = 0;
--- a/src/workers/failure_attribution.cpp
+++ b/src/workers/failure_attribution.cpp
@@ -4,9 +4,9 @@
 
 namespace dunebridge::workers {
 
-using core::Job;
-using core::LogLevel;
-using core::Machine;
+using sansio::LogLevel;
+using state::Job;
+using state::Machine;
 
 namespace {
 // Between a job's failures and its next start.
--- a/src/workers/failure_attribution.hpp
+++ b/src/workers/failure_attribution.hpp
@@ -10,31 +10,31 @@
 // job that recovers must be noticed.
 #pragma once
 
-#include "core/ledger.hpp"
-#include "core/model.hpp"
-#include "core/port.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "state/model.hpp"
 
 namespace dunebridge::workers {
 
 class FailureAttribution {
   public:
-    FailureAttribution(core::Port& port, core::Ledger& ledger) : port_(port), ledger_(ledger) {}
+    FailureAttribution(sansio::Port& port, state::Ledger& ledger) : port_(port), ledger_(ledger) {}
 
-    void succeeded(core::Job& job, core::Machine& machine);
-    void failed(core::Job& job, core::Machine& machine);
+    void succeeded(state::Job& job, state::Machine& machine);
+    void failed(state::Job& job, state::Machine& machine);
     // Starts the job again after a pause only, which grows from one time to the next.
-    void pause(core::Job& job);
+    void pause(state::Job& job);
 
   private:
-    void clear_job(core::Job& job);
-    std::uint32_t evidence_against(const core::Machine& machine) const;
-    bool failed_everywhere(const core::Job& job) const;
-    void blame_job(core::Job& job);
-    void blame_machine(core::Machine& machine);
-    void withdraw_blame(core::Machine& machine);
+    void clear_job(state::Job& job);
+    std::uint32_t evidence_against(const state::Machine& machine) const;
+    bool failed_everywhere(const state::Job& job) const;
+    void blame_job(state::Job& job);
+    void blame_machine(state::Machine& machine);
+    void withdraw_blame(state::Machine& machine);
 
-    core::Port& port_;
-    core::Ledger& ledger_;
+    sansio::Port& port_;
+    state::Ledger& ledger_;
 };
 
 }  // namespace dunebridge::workers
--- a/src/workers/fencing_token.hpp
+++ b/src/workers/fencing_token.hpp
@@ -7,7 +7,7 @@
 #include <cstdint>
 
 #include "base/types.hpp"
-#include "core/model.hpp"
+#include "state/model.hpp"
 
 namespace dunebridge::workers {
 
@@ -18,6 +18,6 @@
 }
 inline Term term_of(FencingToken token) { return Term(token.get() >> kFenceBits); }
 // The term of the leader that placed the attempt.
-inline Term term_of(Attempt attempt) { return Term(attempt.get() >> core::kAttemptBits); }
+inline Term term_of(Attempt attempt) { return Term(attempt.get() >> state::kAttemptBits); }
 
 }  // namespace dunebridge::workers
--- a/src/workers/heartbeat_processor.cpp
+++ b/src/workers/heartbeat_processor.cpp
@@ -1,21 +1,21 @@
-#include "workers/report_processor.hpp"
+#include "workers/heartbeat_processor.hpp"
 
 #include <algorithm>
 #include <optional>
 #include <utility>
 
-#include "core/task_ranges.hpp"
-#include "workers/fencing.hpp"
+#include "state/task_ranges.hpp"
+#include "workers/fencing_token.hpp"
 
 namespace dunebridge::workers {
 
-using core::Exited;
-using core::Job;
-using core::LogLevel;
-using core::Machine;
-using core::Placement;
-using core::PlacementKey;
-using core::StartDelivery;
+using sansio::LogLevel;
+using state::Exited;
+using state::Job;
+using state::Machine;
+using state::Placement;
+using state::PlacementKey;
+using state::StartDelivery;
 using wire::ExitReason;
 using wire::Report;
 using wire::TaskPhase;
@@ -38,8 +38,8 @@
 }
 }  // namespace
 
-ReportProcessor::ReportProcessor(core::Port& port, cluster::Election& election,
-                                 core::Ledger& ledger,
+ReportProcessor::ReportProcessor(sansio::Port& port, coordination::Election& election,
+                                 state::Ledger& ledger,
                                  std::function<void(const Finished&)> finished)
     : port_(port),
       election_(election),
@@ -150,7 +150,7 @@
     }
     Job* job = ledger_.find_job(task.task.job);
     if (job) {
-        entry.record = core::progress_key(*job, task.task.index);
+        entry.record = state::progress_key(*job, task.task.index);
         entry.outcome = ledger_.version();
     }
     for (const auto& earlier : known) {
--- a/src/workers/heartbeat_processor.hpp
+++ b/src/workers/heartbeat_processor.hpp
@@ -13,54 +13,55 @@
 #include <functional>
 #include <vector>
 
-#include "cluster/election.hpp"
-#include "core/ledger.hpp"
-#include "core/model.hpp"
-#include "core/port.hpp"
+#include "coordination/election.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
+#include "state/model.hpp"
 #include "wire/messages.hpp"
 #include "workers/failure_attribution.hpp"
-#include "workers/worker_state.hpp"
+#include "workers/worker_conditions.hpp"
 
 namespace dunebridge::workers {
 
 // A task that is done, for what is learnt from run times.
 struct Finished {
-    const core::Job* job = nullptr;
-    const core::Machine* machine = nullptr;
+    const state::Job* job = nullptr;
+    const state::Machine* machine = nullptr;
     double ran_s = 0;
 };
 
 class ReportProcessor {
   public:
-    ReportProcessor(core::Port& port, cluster::Election& election, core::Ledger& ledger,
+    ReportProcessor(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
                     std::function<void(const Finished&)> finished);
 
     // Returns false if the report shows that this leader has been superseded. An older report than
     // the last changes nothing.
-    bool apply(core::Machine& machine, const wire::Report& report, Channel channel);
+    bool apply(state::Machine& machine, const wire::Report& report, Channel channel);
 
   private:
     // What follows from a report for a placement.
     enum class Verdict : std::uint8_t { unknown, gone, start_lost };
 
-    void update_lease(core::Machine& machine, const wire::Report& report);
-    void update_worker(core::Machine& machine, const wire::Report& report);
-    void take_notice(core::Machine& machine, double eviction_s);
-    void apply_listed(core::Machine& machine, const wire::Report& report);
-    void apply_unexited(core::Machine& machine, const wire::Report& report,
-                        const wire::TaskReport& task, core::Placement* placement);
-    void apply_exited(core::Machine& machine, const wire::TaskReport& task,
-                      core::Placement* placement, const std::vector<core::Exited>& known);
-    void reconcile(core::Machine& machine, const wire::Report& report, Channel channel);
-    Verdict judge(const core::Machine& machine, core::Placement& placement,
+    void update_lease(state::Machine& machine, const wire::Report& report);
+    void update_worker(state::Machine& machine, const wire::Report& report);
+    void take_notice(state::Machine& machine, double eviction_s);
+    void apply_listed(state::Machine& machine, const wire::Report& report);
+    void apply_unexited(state::Machine& machine, const wire::Report& report,
+                        const wire::TaskReport& task, state::Placement* placement);
+    void apply_exited(state::Machine& machine, const wire::TaskReport& task,
+                      state::Placement* placement, const std::vector<state::Exited>& known);
+    void reconcile(state::Machine& machine, const wire::Report& report, Channel channel);
+    Verdict judge(const state::Machine& machine, state::Placement& placement,
                   const wire::Report& report, Channel channel) const;
-    bool forgotten_with_session(const core::Placement& placement, const wire::Report& report) const;
-    void exited(core::Machine& machine, core::Placement& placement, const wire::TaskReport& task);
-    bool of_this_term(const core::Placement& placement) const;
+    bool forgotten_with_session(const state::Placement& placement,
+                                const wire::Report& report) const;
+    void exited(state::Machine& machine, state::Placement& placement, const wire::TaskReport& task);
+    bool of_this_term(const state::Placement& placement) const;
 
-    core::Port& port_;
-    cluster::Election& election_;
-    core::Ledger& ledger_;
+    sansio::Port& port_;
+    coordination::Election& election_;
+    state::Ledger& ledger_;
     FailureAttribution failures_;
     std::function<void(const Finished&)> finished_;
 };
--- a/src/workers/worker_client.cpp
+++ b/src/workers/worker_client.cpp
@@ -8,18 +8,18 @@
 constexpr Millis kTimeout{1500};
 }  // namespace
 
-void WorkerClient::send(const core::Machine& machine, FencingToken token,
+void WorkerClient::send(const state::Machine& machine, FencingToken token,
                         const std::vector<wire::Order>& orders,
                         std::function<void(const CommandResult&)> then) {
     auto body = wire::encode_commands(token, machine.worker.last.session, orders);
-    port_.call(core::Service::worker, machine.endpoint, "POST", "/commands", std::move(body),
+    port_.call(sansio::Service::worker, machine.endpoint, "POST", "/commands", std::move(body),
                kTimeout,
-               [this, host = machine.host, then = std::move(then)](const core::HttpReply& reply) {
+               [this, host = machine.host, then = std::move(then)](const sansio::HttpReply& reply) {
                    then(read(host, reply));
                });
 }
 
-CommandResult WorkerClient::read(const HostName& host, const core::HttpReply& reply) {
+CommandResult WorkerClient::read(const HostName& host, const sansio::HttpReply& reply) {
     const bool refused = reply.status == 409 || reply.status == 400;
     CommandResult result{refused || reply.unsent(), std::nullopt};
     if (reply.status != 200 && reply.status != 409) return result;
@@ -28,7 +28,7 @@
         auto report = wire::decode_report(doc.root());
         if (report.host == host) result.report = std::move(report);
     } catch (const wire::DecodeError& e) {
-        port_.log(core::LogLevel::error, "event=bad_report host={} error=\"{}\"", host.get(),
+        port_.log(sansio::LogLevel::error, "event=bad_report host={} error=\"{}\"", host.get(),
                   e.what());
     }
     return result;
--- a/src/workers/worker_client.hpp
+++ b/src/workers/worker_client.hpp
@@ -5,8 +5,8 @@
 #include <optional>
 #include <vector>
 
-#include "core/model.hpp"
-#include "core/port.hpp"
+#include "sansio/context.hpp"
+#include "state/model.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::workers {
@@ -20,16 +20,16 @@
 
 class WorkerClient {
   public:
-    explicit WorkerClient(core::Port& port) : port_(port) {}
+    explicit WorkerClient(sansio::Port& port) : port_(port) {}
 
-    void send(const core::Machine& machine, FencingToken token,
+    void send(const state::Machine& machine, FencingToken token,
               const std::vector<wire::Order>& orders,
               std::function<void(const CommandResult&)> then);
 
   private:
-    CommandResult read(const HostName& host, const core::HttpReply& reply);
+    CommandResult read(const HostName& host, const sansio::HttpReply& reply);
 
-    core::Port& port_;
+    sansio::Port& port_;
 };
 
 }  // namespace dunebridge::workers
--- a/src/workers/worker_conditions.hpp
+++ b/src/workers/worker_conditions.hpp
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "core/model.hpp"
+#include "state/model.hpp"
 
 namespace dunebridge::workers {
 
@@ -17,18 +17,18 @@
 inline constexpr std::uint32_t kMaxUnacknowledged = 3;
 
 // Its reports arrive, but it acknowledges no answer.
-inline bool unresponsive(const core::Machine& machine) {
+inline bool unresponsive(const state::Machine& machine) {
     return machine.worker.unacknowledged >= kMaxUnacknowledged;
 }
 
-inline bool must_stop(const core::Placement& placement) {
-    return placement.stopping || placement.job->state == core::JobState::ended ||
+inline bool must_stop(const state::Placement& placement) {
+    return placement.stopping || placement.job->state == state::JobState::ended ||
            placement.job->tasks[placement.index].done;
 }
 
 // No command for it has left this leader, and the worker has not shown it.
-inline bool never_sent(const core::Placement& placement) {
-    return placement.committed && placement.sent == core::StartDelivery::never && !placement.seen;
+inline bool never_sent(const state::Placement& placement) {
+    return placement.committed && placement.sent == state::StartDelivery::never && !placement.seen;
 }
 
 }  // namespace dunebridge::workers
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -1,18 +1,18 @@
-#include "workers/workers.hpp"
+#include "workers/worker_manager.hpp"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-#include "workers/fencing.hpp"
-#include "workers/worker_state.hpp"
+#include "workers/fencing_token.hpp"
+#include "workers/worker_conditions.hpp"
 
 namespace dunebridge::workers {
 
-using core::LogLevel;
-using core::Machine;
-using core::Placement;
-using core::PlacementKey;
+using sansio::LogLevel;
+using state::Machine;
+using state::Placement;
+using state::PlacementKey;
 
 namespace {
 // Clocks of workers may run slower than this one's, by so much.
@@ -28,8 +28,8 @@
 constexpr int kRetryAfter_s = 1;
 }  // namespace
 
-Workers::Workers(core::Port& port, cluster::Election& election, core::Ledger& ledger,
-                 const core::Config& config, std::function<void(const Finished&)> finished)
+Workers::Workers(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
+                 const config::Config& config, std::function<void(const Finished&)> finished)
     : port_(port),
       election_(election),
       ledger_(ledger),
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -11,20 +11,20 @@
 #include <functional>
 #include <map>
 
-#include "cluster/election.hpp"
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "coordination/election.hpp"
+#include "sansio/context.hpp"
+#include "state/cluster_state.hpp"
 #include "wire/messages.hpp"
-#include "workers/command_sender.hpp"
-#include "workers/report_processor.hpp"
+#include "workers/command_dispatcher.hpp"
+#include "workers/heartbeat_processor.hpp"
 
 namespace dunebridge::workers {
 
 class Workers {
   public:
-    Workers(core::Port& port, cluster::Election& election, core::Ledger& ledger,
-            const core::Config& config, std::function<void(const Finished&)> finished);
+    Workers(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
+            const config::Config& config, std::function<void(const Finished&)> finished);
 
     // Answers a worker's report with its orders.
     void checkin(RequestId id, const wire::Report& report);
@@ -34,33 +34,33 @@
 
     // A machine that can be given work now. It has shown a token of this term: a late copy of a
     // report could not, so it is there, and its answers reach it.
-    bool usable(const core::Machine& machine) const;
+    bool usable(const state::Machine& machine) const;
     // No report has come for longer than the limit.
-    bool silent(const core::Machine& machine, Millis limit) const;
+    bool silent(const state::Machine& machine, Millis limit) const;
     // Two reports have not come.
-    bool late(const core::Machine& machine) const;
+    bool late(const state::Machine& machine) const;
     // For how long at least its reports have arrived without acknowledging any answer; 0: they do.
-    Millis unresponsive_for(const core::Machine& machine) const;
+    Millis unresponsive_for(const state::Machine& machine) const;
     // Stops the task. It may save its state for so long first.
-    void stop(core::Machine& machine, core::Placement& placement, double grace_s);
+    void stop(state::Machine& machine, state::Placement& placement, double grace_s);
     // The cloud has deleted the machine at the service's wish: late reports must not revive it.
     void deleted(const HostName& host);
     bool was_deleted(const HostName& host) const { return deleted_.contains(host); }
 
   private:
-    core::Machine* machine_of(RequestId id, const wire::Report& report);
-    bool shown_this_term(const core::Machine& machine) const;
+    state::Machine* machine_of(RequestId id, const wire::Report& report);
+    bool shown_this_term(const state::Machine& machine) const;
     bool answer_unknown_worker(RequestId id, const wire::Report& report);
-    void count_unacknowledged(core::Machine& machine) const;
+    void count_unacknowledged(state::Machine& machine) const;
     void refuse(RequestId id, const char* why);
-    FencingToken token(const core::Machine& machine) const;
+    FencingToken token(const state::Machine& machine) const;
     void sweep();
-    void expire_lease(core::Machine& machine);
+    void expire_lease(state::Machine& machine);
 
-    core::Port& port_;
-    cluster::Election& election_;
-    core::Ledger& ledger_;
-    const core::Config& config_;
+    sansio::Port& port_;
+    coordination::Election& election_;
+    state::Ledger& ledger_;
+    const config::Config& config_;
     ReportProcessor reports_;
     CommandSender commands_;
     std::map<HostName, Instant> deleted_;
--- a/tests/bad_nights_test.cpp
+++ b/tests/bad_nights_test.cpp
@@ -200,7 +200,7 @@
 
 TEST_P(BadNightsInARollOut, RulesHoldAndJobsEnd) {
     auto options = night_options(9);
-    options.old_format = state::kChunkFormat;
+    options.old_format = config::kChunkFormat;
     GetParam().options(options);
     World world(options);
     world.run_for(s(40));
@@ -213,7 +213,7 @@
     }
     world.run();
     expect_over(world);
-    EXPECT_EQ(world.format(), state::kNewestFormat);
+    EXPECT_EQ(world.format(), config::kNewestFormat);
 }
 INSTANTIATE_TEST_SUITE_P(Named, BadNightsInARollOut, testing::ValuesIn(kNights),
                          [](const auto& p) { return std::string(p.param.name); });
--- a/tests/chains_test.cpp
+++ b/tests/chains_test.cpp
@@ -5,12 +5,12 @@
 #include <algorithm>
 #include <random>
 
-#include "core/dependency_graph.hpp"
+#include "config/record_format.hpp"
+#include "kv/records.hpp"
 #include "sim/drawn.hpp"
 #include "sim/expect.hpp"
 #include "sim/script.hpp"
-#include "state/format.hpp"
-#include "state/records.hpp"
+#include "state/dependency_graph.hpp"
 
 namespace dunebridge::sim {
 namespace {
@@ -25,10 +25,10 @@
 JobId accepted_elsewhere(Script& s, int n) {
     auto spec = job(n);
     spec.cores = 500;
-    state::JobRecord record;
+    kv::JobRecord record;
     record.submitted_ms = 1700000000000;
     record.spec = spec;
-    s.write(state::job_key(spec.id), encode(record).packed);
+    s.write(kv::job_key(spec.id), encode(record).packed);
     return spec.id;
 }
 
@@ -66,8 +66,8 @@
     const auto answer = s.ask("POST", "/v1/jobs", w.take());
     EXPECT_EQ(answer.status, 503);
     EXPECT_GT(answer.retry_after_s, 0);
-    EXPECT_EQ(s.state().value(state::kFormatMark), "");
-    EXPECT_EQ(s.state().value(state::job_key(job(2).id)), "");
+    EXPECT_EQ(s.state().value(kv::kFormatMark), "");
+    EXPECT_EQ(s.state().value(kv::job_key(job(2).id)), "");
 }
 
 TEST(Chains, ACancellationGoesDownTheWholeChain) {
@@ -79,8 +79,8 @@
     EXPECT_EQ(s.phase(job(3).id), "pending");
     ASSERT_EQ(s.ask("POST", "/v1/jobs/" + job(1).id.get() + "/abort", {}).status, 200);
     s.run(Millis(1000));
-    EXPECT_NE(s.state().value(state::end_key(job(2).id)), "");
-    EXPECT_NE(s.state().value(state::end_key(job(3).id)), "");
+    EXPECT_NE(s.state().value(kv::end_key(job(2).id)), "");
+    EXPECT_NE(s.state().value(kv::end_key(job(3).id)), "");
     EXPECT_EQ(s.phase(job(3).id), "withdrawn");
     // Accepted all the same, and cancelled.
     ASSERT_EQ(s.submit(job(4, {job(1).id})), 201);
@@ -97,8 +97,7 @@
     ASSERT_EQ(s.submit(job(3, {job(2).id})), 201);
     s.run(Millis(500));
     s.state().set_watches_stalled(true);
-    s.write(state::end_key(job(1).id),
-            wire::Writer().map(1).text("phase").text("withdrawn").take());
+    s.write(kv::end_key(job(1).id), wire::Writer().map(1).text("phase").text("withdrawn").take());
     EXPECT_EQ(s.phase(job(3).id), "withdrawn");
 }
 
@@ -107,8 +106,8 @@
 // The graph alone, with jobs as the ledger holds them.
 class Graph : public testing::Test {
   protected:
-    core::Job& add(int n, wire::Priority priority, std::vector<JobId> dependencies = {},
-                   Instant end_by = Instant::max()) {
+    state::Job& add(int n, wire::Priority priority, std::vector<JobId> dependencies = {},
+                    Instant end_by = Instant::max()) {
         const auto spec = job(n, std::move(dependencies));
         auto& added = jobs_[spec.id];
         added.spec = spec;
@@ -119,15 +118,15 @@
         return added;
     }
 
-    core::Port port_{1, core::LogLevel::error};
-    state::Store store_{port_, Script::config()};
-    std::map<JobId, core::Job> jobs_;
+    sansio::Port port_{1, sansio::LogLevel::error};
+    kv::Store store_{port_, Script::config()};
+    std::map<JobId, state::Job> jobs_;
     std::vector<JobId> cancelled_;
-    core::DependencyGraph graph_{
+    state::DependencyGraph graph_{
         port_,
         store_,
         jobs_,
-        {[] { return true; }, [this](core::Job& job) { cancelled_.push_back(job.spec.id); }}};
+        {[] { return true; }, [this](state::Job& job) { cancelled_.push_back(job.spec.id); }}};
 };
 
 // Also when the last one is submitted late; over both sides of a diamond, and only where it asks
@@ -139,7 +138,7 @@
     auto& right = add(3, wire::Priority::prod, {first.spec.id});
     auto& other = add(9, wire::Priority::idle);
     const auto& last = add(4, wire::Priority::urgent, {left.spec.id, right.spec.id}, due);
-    const auto before = [](const core::Job& job) {
+    const auto before = [](const state::Job& job) {
         return job.end_by - from_seconds(job.spec.expected_s * 1.5) - Millis(2000);
     };
     EXPECT_EQ(left.priority, wire::Priority::urgent);
@@ -226,9 +225,9 @@
 // ---- more jobs before one than a transaction can guard ----
 
 // The limits that a deployment may announce: 64 preconditions, and values of 2 KiB.
-core::Config small_limits() {
+config::Config small_limits() {
     auto config = Script::config();
-    config.state = state::Limits({200, 80, 16, 48}, state::Limits::Set{200, 80, 2, 16});
+    config.state = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 80, 2, 16});
     return config;
 }
 
@@ -238,7 +237,7 @@
 }
 
 void end_elsewhere(Script& s, const JobId& id, wire::JobPhase phase) {
-    s.write(state::end_key(id), encode(state::EndRecord{phase, 1, 1700000000000}).packed);
+    s.write(kv::end_key(id), encode(kv::EndRecord{phase, 1, 1700000000000}).packed);
 }
 
 std::vector<JobId> accepted_elsewhere(Script& s, int first, int count) {
@@ -257,7 +256,7 @@
     const auto many = accepted_elsewhere(s, 100, 300);
     const auto last = job(1, many);
     ASSERT_EQ(s.submit(last), 201);
-    EXPECT_NE(s.state().value(state::dependency_key(last.id, 0)), "");
+    EXPECT_NE(s.state().value(kv::dependency_key(last.id, 0)), "");
     EXPECT_EQ(s.phase(last.id), "pending");
     ASSERT_EQ(s.submit(job(2)), 201);  // for which a machine is rented
     auto w = ready_machine(s, 0);
@@ -274,7 +273,7 @@
     end_task(w, last.id);
     play(s, {&w}, 8);
     EXPECT_EQ(s.phase(last.id), "done");
-    EXPECT_TRUE(s.state().values(state::dependency_prefix(last.id)).empty());
+    EXPECT_TRUE(s.state().values(kv::dependency_prefix(last.id)).empty());
     EXPECT_EQ(s.state().violations(), 0u);
 }
 
@@ -361,7 +360,7 @@
 // told to come back.
 TEST(ManyBefore, IsNotAcceptedBeforeItsFormatIsInForce) {
     auto config = small_limits();
-    config.format = state::kRangeFormat;
+    config.format = config::kRangeFormat;
     Script s(1, config);
     set_small_limits(s);
     s.run(kSettled);
@@ -369,16 +368,16 @@
     const auto few = std::vector<JobId>(many.begin(), many.begin() + 40);
     EXPECT_EQ(s.submit(job(1, few)), 201);
     EXPECT_EQ(s.submit(job(2, many)), 503);
-    EXPECT_EQ(s.state().value(state::job_key(job(2).id)), "");
+    EXPECT_EQ(s.state().value(kv::job_key(job(2).id)), "");
 }
 
 // An older version that has read the mark does not lead.
 TEST(ManyBefore, TheVersionBeforeStopsAtTheMark) {
     auto config = Script::config();
-    config.format = state::kRangeFormat;
+    config.format = config::kRangeFormat;
     Script s(1, config);
-    s.write(state::kFormatMark,
-            wire::Writer().map(1).text("v").count(state::kSplitDependencyFormat).take());
+    s.write(kv::kFormatMark,
+            wire::Writer().map(1).text("v").count(config::kSplitDependencyFormat).take());
     s.run(Millis(8000));
     EXPECT_FALSE(s.leads());
 }
@@ -394,10 +393,10 @@
         }
         const std::vector<JobId> jobs(ids.begin(), ids.end());
         std::vector<JobId> read;
-        for (const auto& part : state::encode_dependency_parts(jobs, round % 2 == 0, 2048)) {
+        for (const auto& part : kv::encode_dependency_parts(jobs, round % 2 == 0, 2048)) {
             EXPECT_LE(part.json_size, 2048u);
             const auto doc = wire::Document::parse(part.packed);
-            const auto decoded = state::decode_dependency_part(doc->root());
+            const auto decoded = kv::decode_dependency_part(doc->root());
             EXPECT_EQ(decoded.direct, round % 2 == 0);
             read.insert(read.end(), decoded.jobs.begin(), decoded.jobs.end());
         }
@@ -407,7 +406,7 @@
         const auto packed =
             wire::Writer().map(2).text("direct").boolean(true).text("jobs").text(bad).take();
         const auto doc = wire::Document::parse(packed);
-        EXPECT_THROW(state::decode_dependency_part(doc->root()), wire::DecodeError) << bad;
+        EXPECT_THROW(kv::decode_dependency_part(doc->root()), wire::DecodeError) << bad;
     }
 }
 
@@ -418,7 +417,7 @@
     auto options = drawn_options(GetParam());
     options.pipelines = 8;
     options.fan_in = 24;
-    options.limits = state::Limits({200, 80, 16, 48}, state::Limits::Set{200, 80, 2, 5});
+    options.limits = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 80, 2, 5});
     World world(options);
     run_drawn(world, GetParam());
     expect_over(world);
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -2,9 +2,9 @@
 #include <gtest/gtest.h>
 
 #include "base/token_bucket.hpp"
-#include "cluster/cancellation_log.hpp"
-#include "provisioning/sizing.hpp"
-#include "scheduler/placement.hpp"
+#include "coordination/cancellation_log.hpp"
+#include "provisioning/scaling_plan.hpp"
+#include "scheduler/bin_packing.hpp"
 
 namespace dunebridge {
 namespace {
@@ -147,10 +147,10 @@
 
 // Two nodes that hear each other's log, one a little later, must not keep an end in it for ever.
 TEST(CancellationLog, DoNotGoRoundBetweenNodes) {
-    core::Config config;
+    config::Config config;
     config.cancel = Millis(20000);
-    core::Port ports[2]{{1, core::LogLevel::info}, {2, core::LogLevel::info}};
-    cluster::CancellationLog logs[2]{{ports[0], config}, {ports[1], config}};
+    sansio::Port ports[2]{{1, sansio::LogLevel::info}, {2, sansio::LogLevel::info}};
+    coordination::CancellationLog logs[2]{{ports[0], config}, {ports[1], config}};
     Instant now(Millis(1000));
     ports[0].set_time(now, 0);
     EXPECT_TRUE(logs[0].add(JobId("req-1")));
--- a/tests/digest.cpp
+++ b/tests/digest.cpp
@@ -18,8 +18,8 @@
     const auto count = std::strtoull(argv[2], nullptr, 10);
     for (auto seed = from; seed < from + count; ++seed) {
         auto options = drawn_options(seed);
-        if (seed % 4 == 2) options.old_format = state::kChunkFormat;
-        if (seed % 8 == 3) options.old_format = state::kRangeFormat;
+        if (seed % 4 == 2) options.old_format = config::kChunkFormat;
+        if (seed % 8 == 3) options.old_format = config::kRangeFormat;
         World world(options);
         run_drawn(world, seed);
         std::cout << seed << " " << std::hex << world.digest() << std::dec << " "
