--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -13,7 +13,7 @@
     FailureAttribution attribution{world.port, world.ledger};
 
     // The job fails on so many machines, each of which is new.
-    void fail_on_new_machines(core::Job& job, int count) {
+    void fail_on_new_machines(state::Job& job, int count) {
         for (int i = 0; i < count; ++i) attribution.failed(job, world.add_machine(++machines));
     }
     int machines = 100;
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -121,7 +121,7 @@
 TEST_F(Files, RequestsOnLoopback) {
     const auto config = load_settings(write("run.toml", settings("lease_s = 30", 18180)), {});
     // Ends with the test's process: a controller runs until it is killed.
-    std::thread([config] { Runtime(config, core::LogLevel::error, 1).run(); }).detach();
+    std::thread([config] { Runtime(config, sansio::LogLevel::error, 1).run(); }).detach();
     for (int i = 0; i < 100; ++i) {
         boost::asio::io_context io;
         tcp::socket probe(io);
@@ -264,7 +264,7 @@
     run();
     boost::asio::io_context own;
     net::HttpClient client(own, 2, std::chrono::seconds(60));
-    core::HttpReply reply;
+    sansio::HttpReply reply;
     boost::asio::co_spawn(
         own,
         [&]() -> boost::asio::awaitable<void> {
@@ -284,7 +284,7 @@
 
 TEST(SocketBudget, SharesNeverAddUpToMoreThanTheLimit) {
     for (const std::size_t limit : {32, 100, 512, 1800, 2928, 3132, 100000}) {
-        const core::SocketBudget b(limit);
+        const config::SocketBudget b(limit);
         EXPECT_LT(b.service + b.peers + b.back + b.front + b.commands, limit);
         EXPECT_GE(std::min({b.service, b.peers, b.back, b.commands}), 2u);
         EXPECT_GT(b.front, limit / 4);
@@ -327,10 +327,10 @@
         const auto path = write("odd" + std::to_string(n++) + ".toml", text);
         ASSERT_EQ(complaint(path), "");
         const auto config = load_settings(path, {});
-        core::Core core(config, 1, core::LogLevel::error);
+        controller::Core core(config, 1, sansio::LogLevel::error);
         // Nothing outside answers: it goes on asking, and says that it is not ready.
-        std::vector<core::Command> batch{
-            core::Request{RequestId(1), core::Plane::front, "GET", "/ready", {}, false}};
+        std::vector<controller::Command> batch{controller::Request{
+            RequestId(1), controller::Plane::front, "GET", "/ready", {}, false}};
         std::size_t calls = 0;
         bool answered = false;
         for (int i = 1; i <= 100; ++i) {
@@ -339,7 +339,7 @@
             for (const auto& a : effects.answers) answered = answered || a.status == 503;
             calls += effects.calls.size();
             for (const auto& c : effects.calls)
-                batch.push_back(core::CallDone{c.id, {core::HttpReply::kUnsent, {}}});
+                batch.push_back(controller::CallDone{c.id, {sansio::HttpReply::kUnsent, {}}});
         }
         EXPECT_TRUE(answered);
         EXPECT_GT(calls, 5u);
--- a/tests/scripted_test.cpp
+++ b/tests/scripted_test.cpp
@@ -107,11 +107,11 @@
 
 // Malformed messages are answered and dropped, and do not fill the log.
 TEST(Scripted, ComplaintsOfOneKindAreLimitedInRate) {
-    core::Core core(Script::config(), 1, core::LogLevel::info);
-    std::vector<core::Command> batch;
+    controller::Core core(Script::config(), 1, sansio::LogLevel::info);
+    std::vector<controller::Command> batch;
     for (std::uint64_t i = 1; i <= 200; ++i) {
-        batch.push_back(
-            core::Request{RequestId(i), core::Plane::back, "POST", "/hello", "\xc1", false});
+        batch.push_back(controller::Request{RequestId(i), controller::Plane::back, "POST", "/hello",
+                                            "\xc1", false});
     }
     const auto effects = core.apply(std::move(batch), Instant(Millis(5000)), 1700000000000);
     EXPECT_EQ(effects.answers.size(), 200u);
@@ -140,7 +140,7 @@
     const auto first = job(1);
     const auto second = job(2);
     auto [w, start, direct] = send_start_twice(s, first, second);
-    s.answer(direct, core::HttpReply::kUnsent, {});
+    s.answer(direct, sansio::HttpReply::kUnsent, {});
     ASSERT_EQ(s.ask("POST", "/v1/jobs/" + second.id.get() + "/abort", {}).status, 200);
     s.run(Millis(3000));
     EXPECT_EQ(s.recorded_on(second.id), Hosts{w.report.host.get()});
@@ -167,7 +167,7 @@
     s.state().set_watches_stalled(true);
     // By another node, of which this one learns nothing.
     const auto end = wire::Writer().map(1).text("phase").text("withdrawn").take();
-    s.write(state::end_key(second.id), end);
+    s.write(kv::end_key(second.id), end);
     w.report.tasks[0].phase = TaskPhase::exited;
     w.report.tasks[0].reason = ExitReason::done;
     s.checkin(w.next());
@@ -218,7 +218,7 @@
     s.checkin(w.next());
     s.run(Millis(3000));
     EXPECT_EQ(s.recorded_on(first.id), Hosts{w.report.host.get()});
-    EXPECT_EQ(s.state().value(state::end_key(first.id)), "");
+    EXPECT_EQ(s.state().value(kv::end_key(first.id)), "");
 }
 
 // A direct command without an answer may yet start the task: what a report of the token before
@@ -280,7 +280,7 @@
     show_token(s, w);
     // No connection to it can be made, and the answers to its reports are lost.
     for (int i = 0; i < 8; ++i) {
-        while (!s.directs().empty()) s.answer(s.directs()[0], core::HttpReply::kUnsent, {});
+        while (!s.directs().empty()) s.answer(s.directs()[0], sansio::HttpReply::kUnsent, {});
         s.checkin(w.next());
         s.run(Millis(1000));
     }
--- a/tests/sim/cloud_stand_in.cpp
+++ b/tests/sim/cloud_stand_in.cpp
@@ -4,7 +4,7 @@
 
 namespace dunebridge::sim {
 
-using core::HttpReply;
+using sansio::HttpReply;
 using wire::Writer;
 
 CloudStandIn::CloudStandIn(Clock& clock, std::vector<wire::MachineType> types,
--- a/tests/sim/ledger_fixture.hpp
+++ b/tests/sim/ledger_fixture.hpp
@@ -4,21 +4,21 @@
 
 #include <fmt/format.h>
 
-#include "cluster/election.hpp"
-#include "core/config.hpp"
-#include "core/ledger.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "coordination/election.hpp"
+#include "kv/client.hpp"
+#include "sansio/context.hpp"
 #include "sim/script.hpp"
-#include "state/store.hpp"
+#include "state/cluster_state.hpp"
 
 namespace dunebridge::sim {
 
 struct LedgerFixture {
-    core::Config config;
-    core::Port port{1, core::LogLevel::info};
-    state::Store store{port, config};
-    cluster::Election election{port, store, config};
-    core::Ledger ledger{port, store, election};
+    config::Config config;
+    sansio::Port port{1, sansio::LogLevel::info};
+    kv::Store store{port, config};
+    coordination::Election election{port, store, config};
+    state::Ledger ledger{port, store, election};
     Instant now{Millis(1000000)};
 
     LedgerFixture() { pass(Millis(0)); }
@@ -26,12 +26,12 @@
         now += span;
         port.set_time(now, 0);
     }
-    core::Job& add_job(int number, std::uint32_t task_count = 1) {
-        state::JobRecord record;
+    state::Job& add_job(int number, std::uint32_t task_count = 1) {
+        kv::JobRecord record;
         record.spec = job(number, task_count);
         return *ledger.add_job(std::move(record), KeyRev(1));
     }
-    core::Machine& add_machine(int number, const std::string& zone = "a") {
+    state::Machine& add_machine(int number, const std::string& zone = "a") {
         return ledger.add_machine(HostName(fmt::format("vm-{:06}", number)), "big", zone, true);
     }
 };
--- a/tests/sim/script.cpp
+++ b/tests/sim/script.cpp
@@ -4,8 +4,8 @@
 
 namespace dunebridge::sim {
 
-using core::HttpReply;
-using core::Service;
+using sansio::HttpReply;
+using sansio::Service;
 
 namespace {
 constexpr Millis kTurn{5};
@@ -91,9 +91,9 @@
     return wire::encode(report);
 }
 
-const core::Config& Script::config() {
-    static const core::Config config = [] {
-        core::Config c;
+const config::Config& Script::config() {
+    static const config::Config config = [] {
+        config::Config c;
         c.name = NodeName("node-0");
         c.zones = {"a"};
         c.teams = {{"free", 0, 0, 0, 0}};
@@ -107,7 +107,7 @@
     return config;
 }
 
-Script::Script(std::size_t most_machines, const core::Config& config)
+Script::Script(std::size_t most_machines, const config::Config& config)
     : config_(config),
       state_(clock_),
       cloud_(clock_, {{"big", 16, 0, 64, 50, 1, 0.9, 0.3, 5, {"a"}}}, most_machines, Millis(4000),
@@ -121,7 +121,7 @@
     ++incarnation_;
     queue_.clear();
     commands_in_flight_.clear();
-    core_ = std::make_unique<core::Core>(config_, incarnation_, core::LogLevel::debug);
+    core_ = std::make_unique<controller::Core>(config_, incarnation_, sansio::LogLevel::debug);
 }
 
 void Script::run(Millis span) {
@@ -141,7 +141,7 @@
 }
 
 void Script::step() {
-    std::vector<core::Command> batch;
+    std::vector<controller::Command> batch;
     batch.swap(queue_);
     auto effects = core_->apply(std::move(batch), clock_.now(),
                                 kWallStart + clock_.now().time_since_epoch().count());
@@ -150,9 +150,9 @@
     for (auto& c : effects.calls) call(std::move(c));
 }
 
-void Script::call(core::HttpCall c) {
+void Script::call(sansio::HttpCall c) {
     const auto done = [this, id = c.id, incarnation = incarnation_](const HttpReply& reply) {
-        if (incarnation == incarnation_) queue_.push_back(core::CallDone{id, reply});
+        if (incarnation == incarnation_) queue_.push_back(controller::CallDone{id, reply});
     };
     const bool lost = writes_lost_ && c.service == Service::state && c.target == "/multi" &&
                       wire::Document::parse(c.body)->root()["writes"].size() > 0;
@@ -178,12 +178,13 @@
     }
 }
 
-core::Answer Script::ask(const std::string& method, const std::string& target,
-                         const std::string& body) {
+sansio::Answer Script::ask(const std::string& method, const std::string& target,
+                           const std::string& body) {
     const RequestId id(++next_request_);
-    queue_.push_back(core::Request{id, core::Plane::front, method, target, body, false});
+    queue_.push_back(
+        controller::Request{id, controller::Plane::front, method, target, body, false});
     for (int i = 0; i < 600 && !answers_.contains(id); ++i) run(kTurn);
-    return answers_.contains(id) ? answers_.at(id) : core::Answer{id, 0, {}, 0};
+    return answers_.contains(id) ? answers_.at(id) : sansio::Answer{id, 0, {}, 0};
 }
 
 int Script::submit(const wire::JobSpec& job) {
@@ -209,7 +210,7 @@
 void Script::answer(const Direct& direct, int status, const std::string& report) {
     const auto id = direct.id;
     std::erase_if(commands_in_flight_, [&](const Direct& d) { return d.id == id; });
-    queue_.push_back(core::CallDone{id, {status, report}});
+    queue_.push_back(controller::CallDone{id, {status, report}});
 }
 
 ScriptedWorker Script::machine(std::size_t n) {
--- a/tests/sim/script.hpp
+++ b/tests/sim/script.hpp
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "core/core.hpp"
+#include "controller/controller.hpp"
+#include "kv/keys.hpp"
 #include "sim/clock.hpp"
 #include "sim/cloud_stand_in.hpp"
 #include "sim/state_stand_in.hpp"
-#include "state/keys.hpp"
 
 namespace dunebridge::sim {
 
@@ -28,7 +28,7 @@
 
 class Script {
   public:
-    explicit Script(std::size_t most_machines, const core::Config& config = Script::config());
+    explicit Script(std::size_t most_machines, const config::Config& config = Script::config());
 
     void run(Millis span);
     // The controller stands still while the clock and the others go on.
@@ -36,7 +36,8 @@
     // A new incarnation of the controller, with nothing but what is on record.
     void restart();
 
-    core::Answer ask(const std::string& method, const std::string& target, const std::string& body);
+    sansio::Answer ask(const std::string& method, const std::string& target,
+                       const std::string& body);
     int submit(const wire::JobSpec& job);
     std::string phase(const JobId& id);  // empty: no answer with one
     // The answer to a check-in, and what it orders.
@@ -66,21 +67,21 @@
     // Another node writes the key.
     void write(const std::string& key, const std::string& value);
 
-    static const core::Config& config();
+    static const config::Config& config();
 
   private:
     void step();
-    void call(core::HttpCall call);
+    void call(sansio::HttpCall call);
 
-    const core::Config config_;
+    const config::Config config_;
     Clock clock_;
     StateStandIn state_;
     CloudStandIn cloud_;
-    std::unique_ptr<core::Core> core_;
+    std::unique_ptr<controller::Core> core_;
     std::uint64_t incarnation_ = 0;
     std::uint64_t next_request_ = 0;
-    std::vector<core::Command> queue_;
-    std::map<RequestId, core::Answer> answers_;
+    std::vector<controller::Command> queue_;
+    std::map<RequestId, sansio::Answer> answers_;
     std::vector<Direct> commands_in_flight_;
     std::vector<wire::MachineListing> up_;
     std::set<HostName> returned_;
--- a/tests/sim/state_stand_in.cpp
+++ b/tests/sim/state_stand_in.cpp
@@ -5,7 +5,7 @@
 
 namespace dunebridge::sim {
 
-using core::HttpReply;
+using sansio::HttpReply;
 using wire::Document;
 using wire::Writer;
 
--- a/tests/sim/state_stand_in.hpp
+++ b/tests/sim/state_stand_in.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "core/port.hpp"
+#include "sansio/context.hpp"
 #include "sim/clock.hpp"
 #include "wire/codec.hpp"
 
@@ -15,7 +15,7 @@
 
 class StateStandIn {
   public:
-    using Reply = std::function<void(core::HttpReply)>;
+    using Reply = std::function<void(sansio::HttpReply)>;
 
     explicit StateStandIn(Clock& clock) : clock_(clock) {}
 
--- a/tests/sim/troubles.cpp
+++ b/tests/sim/troubles.cpp
@@ -5,9 +5,9 @@
 
 namespace dunebridge::sim {
 
-using core::Answer;
-using core::HttpCall;
-using core::Plane;
+using controller::Plane;
+using sansio::Answer;
+using sansio::HttpCall;
 
 // ---- the state service ----
 
@@ -31,7 +31,7 @@
 
 void World::serve_late(const HttpCall& c) {
     clock_.after(Millis(2000 + static_cast<std::int64_t>(harsh_rng_() % 10000)), [this, c] {
-        state_.handle(c.method, c.target, c.body, [](const core::HttpReply&) {});
+        state_.handle(c.method, c.target, c.body, [](const sansio::HttpReply&) {});
     });
 }
 
@@ -219,8 +219,8 @@
 }
 
 std::uint64_t World::format() const {
-    const auto mark = wire::Document::parse(state_.value(state::kFormatMark));
-    return mark ? mark->root()["v"].need_count("v") : state::kChunkFormat;
+    const auto mark = wire::Document::parse(state_.value(kv::kFormatMark));
+    return mark ? mark->root()["v"].need_count("v") : config::kChunkFormat;
 }
 
 void World::lower_limits() {
--- a/tests/sim/worker_stand_in.cpp
+++ b/tests/sim/worker_stand_in.cpp
@@ -11,7 +11,7 @@
 constexpr Millis kStep{100};
 }
 
-WorkerStandIn::WorkerStandIn(Clock& clock, WorkerHost& world, const core::Config& config,
+WorkerStandIn::WorkerStandIn(Clock& clock, WorkerHost& world, const config::Config& config,
                              const wire::MachineType& type, HostName host, std::string zone,
                              bool spot, std::uint64_t seed)
     : clock_(clock),
@@ -126,7 +126,7 @@
     report_at_ = clock_.now() + pause;
 }
 
-void WorkerStandIn::checkin_answered(std::uint64_t sequence, const core::HttpReply* reply) {
+void WorkerStandIn::checkin_answered(std::uint64_t sequence, const sansio::HttpReply* reply) {
     if (gone_ || !in_flight_ || sequence != sequence_ || hanging()) return;
     in_flight_ = false;
     const auto next = (node_ + 1) % world_.node_count();
@@ -160,7 +160,7 @@
     for (const auto& order : answer.orders) execute(order);
 }
 
-core::HttpReply WorkerStandIn::commands(const std::string& body) {
+sansio::HttpReply WorkerStandIn::commands(const std::string& body) {
     check_lease();
     const auto c = wire::decode_commands(wire::Document::parse(body)->root());
     if (c.token < epoch_ || c.session != tenure_) return {409, report_body()};
--- a/tests/sim/worker_stand_in.hpp
+++ b/tests/sim/worker_stand_in.hpp
@@ -7,8 +7,8 @@
 #include <set>
 #include <string>
 
-#include "core/config.hpp"
-#include "core/port.hpp"
+#include "config/config.hpp"
+#include "sansio/context.hpp"
 #include "sim/clock.hpp"
 #include "wire/messages.hpp"
 
@@ -40,7 +40,7 @@
 
 class WorkerStandIn {
   public:
-    WorkerStandIn(Clock& clock, WorkerHost& world, const core::Config& config,
+    WorkerStandIn(Clock& clock, WorkerHost& world, const config::Config& config,
                   const wire::MachineType& type, HostName host, std::string zone, bool spot,
                   std::uint64_t seed);
 
@@ -51,8 +51,8 @@
     void set_faulty(bool faulty) { faulty_ = faulty; }
 
     // Null: no answer, or not in time.
-    void checkin_answered(std::uint64_t sequence, const core::HttpReply* reply);
-    core::HttpReply commands(const std::string& body);
+    void checkin_answered(std::uint64_t sequence, const sansio::HttpReply* reply);
+    sansio::HttpReply commands(const std::string& body);
     bool hanging() const { return clock_.now() < hang_until_; }
     Instant hang_until() const { return hang_until_; }
     bool gone() const { return gone_; }
@@ -87,7 +87,7 @@
 
     Clock& clock_;
     WorkerHost& world_;
-    const core::Config& config_;
+    const config::Config& config_;
     wire::MachineType type_;
     HostName host_;
     std::string region_;
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-core::Config make_config(const Options& options) {
+config::Config make_config(const Options& options) {
     const double size = static_cast<double>(options.machines) / Options().machines;
-    core::Config c;
+    config::Config c;
     c.name = NodeName("node-0");
     c.zones = {"a", "b"};
     c.teams = {{"red", 8 * size, 0, 24 * size, 0},
@@ -68,7 +68,7 @@
     nodes_.resize(3);
     troubles_end_ = clock_.now() + from_seconds(options.troubles_s);
     config_.state = options.limits;
-    if (options.large_fleet) config_.state = state::Limits({180, 70, 16, 48});
+    if (options.large_fleet) config_.state = config::Limits({180, 70, 16, 48});
     for (auto& node : nodes_) node.old_version = options.old_format > 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) boot(i);
     options.urgent_flow ? make_flow() : make_users(options.jobs);
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -11,12 +11,12 @@
 #include <string>
 #include <vector>
 
-#include "core/core.hpp"
+#include "controller/controller.hpp"
+#include "kv/keys.hpp"
 #include "sim/clock.hpp"
 #include "sim/cloud_stand_in.hpp"
 #include "sim/state_stand_in.hpp"
 #include "sim/worker_stand_in.hpp"
-#include "state/keys.hpp"
 
 namespace dunebridge::sim {
 
@@ -47,7 +47,7 @@
     double pipelines_after_s = 0;
     // One more job at the end of each pipeline, which also waits on so many of the other jobs.
     std::size_t fan_in = 0;
-    state::Limits limits;
+    config::Limits limits;
     // So many percent of the jobs are submitted with a mistake: they fail on every machine until
     // their users call them off.
     unsigned mistaken_percent = 0;
@@ -181,9 +181,9 @@
         Instant until{};
     };
     struct Node {
-        std::unique_ptr<core::Core> core;
+        std::unique_ptr<controller::Core> core;
         std::uint64_t incarnation = 0;
-        std::vector<core::Command> queue;
+        std::vector<controller::Command> queue;
         bool step_planned = false;
         Cut from_state = Cut::none;
         Cut from_workers = Cut::none;
@@ -192,7 +192,7 @@
         bool old_version = false;
         Instant cut_until{};
         Instant still_until{};  // it stands still, and its clock runs on
-        std::map<RequestId, std::function<void(const core::Answer&)>> waiting;
+        std::map<RequestId, std::function<void(const sansio::Answer&)>> waiting;
     };
     struct User {
         wire::JobSpec spec;
@@ -215,17 +215,17 @@
     // Nodes.
     void boot(std::size_t node);
     void crash(std::size_t node, Millis down);
-    void command(std::size_t node, core::Command command);
+    void command(std::size_t node, controller::Command command);
     void step(std::size_t node);
-    void add_to_digest(std::size_t node, const core::Effects& effects);
-    void add_to_load(double processor_s, const core::Effects& effects);
+    void add_to_digest(std::size_t node, const sansio::Effects& effects);
+    void add_to_load(double processor_s, const sansio::Effects& effects);
     bool unconnected(const std::string& endpoint);
-    void call(std::size_t node, core::HttpCall call);
-    void serve(std::size_t node, const core::HttpCall& call, StateStandIn::Reply reply);
-    void request(std::size_t node, core::Plane plane, const std::string& method,
+    void call(std::size_t node, sansio::HttpCall call);
+    void serve(std::size_t node, const sansio::HttpCall& call, StateStandIn::Reply reply);
+    void request(std::size_t node, controller::Plane plane, const std::string& method,
                  const std::string& target, const std::string& body,
-                 std::function<void(const core::Answer&)> then);
-    Cut& cut_for(Node& node, core::Service service);
+                 std::function<void(const sansio::Answer&)> then);
+    Cut& cut_for(Node& node, sansio::Service service);
     Millis latency();
 
     // Workers (WorkerHost).
@@ -254,7 +254,7 @@
     void poll(User& user);
     void abort(User& user);
     void abort_at(User& user, std::size_t node);
-    void told(User& user, const core::Answer& answer);
+    void told(User& user, const sansio::Answer& answer);
     void ask_again(User& user, std::size_t node, const std::string& method,
                    const std::string& target, const std::string& body, const char* when);
     void repeat_user(User& user, const std::string& target, const std::string& body);
@@ -275,7 +275,7 @@
     void heal_at(Instant until, std::size_t node);
     void plan_harsh();
     void harsh_fault();
-    void repeat_later(std::size_t node, const core::HttpCall& call);
+    void repeat_later(std::size_t node, const sansio::HttpCall& call);
     Millis state_delay();
     void step_once(Instant limit);
     void copy_later(std::size_t node, const std::string& body);
@@ -294,7 +294,7 @@
     static bool starts_by_and_by(const User& user);
     bool strikes(const Chance& chance);
     Cut worker_cut(const HostName& host) const;
-    void serve_late(const core::HttpCall& call);
+    void serve_late(const sansio::HttpCall& call);
     void odd_request();
     void meet_the_end(User& user);
     void check_ledger();
@@ -304,7 +304,7 @@
     std::mt19937_64 rng_;
     std::mt19937_64 harsh_rng_;  // its own, so that harsh days leave the others as they are
     Clock clock_;
-    core::Config config_;
+    config::Config config_;
     StateStandIn state_;
     CloudStandIn cloud_;
     std::vector<Node> nodes_;
--- a/tests/sim/world_network.cpp
+++ b/tests/sim/world_network.cpp
@@ -9,11 +9,11 @@
 
 namespace dunebridge::sim {
 
-using core::Answer;
-using core::HttpCall;
-using core::HttpReply;
-using core::Plane;
-using core::Service;
+using controller::Plane;
+using sansio::Answer;
+using sansio::HttpCall;
+using sansio::HttpReply;
+using sansio::Service;
 
 namespace {
 constexpr std::int64_t kWallStart = 1700000000000;
@@ -33,8 +33,8 @@
     auto& node = nodes_[i];
     if (node.old_version) config.format = options_.old_format;
     const bool verbose = std::getenv("SIM_LOG") != nullptr;
-    node.core = std::make_unique<core::Core>(
-        config, rng_(), verbose ? core::LogLevel::debug : core::LogLevel::info);
+    node.core = std::make_unique<controller::Core>(
+        config, rng_(), verbose ? sansio::LogLevel::debug : sansio::LogLevel::info);
     node.incarnation = ++incarnations_;
     node.queue.clear();
     node.waiting.clear();
@@ -53,7 +53,7 @@
     });
 }
 
-void World::command(std::size_t i, core::Command c) {
+void World::command(std::size_t i, controller::Command c) {
     auto& node = nodes_[i];
     if (!node.core) return;
     node.queue.push_back(std::move(c));
@@ -75,7 +75,7 @@
         return;
     }
     node.step_planned = false;
-    std::vector<core::Command> batch;
+    std::vector<controller::Command> batch;
     batch.swap(node.queue);
     const auto wall = kWallStart + clock_.now().time_since_epoch().count() +
                       static_cast<std::int64_t>(i) * 100 - 100;
@@ -108,7 +108,7 @@
     }
 }
 
-void World::add_to_load(double processor_s, const core::Effects& effects) {
+void World::add_to_load(double processor_s, const sansio::Effects& effects) {
     ++load_.steps;
     load_.processor_s += processor_s;
     load_.longest_step_s = std::max(load_.longest_step_s, processor_s);
@@ -116,7 +116,7 @@
     for (const auto& answer : effects.answers) load_.bytes += answer.body.size();
 }
 
-void World::add_to_digest(std::size_t node, const core::Effects& effects) {
+void World::add_to_digest(std::size_t node, const sansio::Effects& effects) {
     const auto add = [this](const auto& value) { boost::hash_combine(digest_, value); };
     for (const auto& call : effects.calls) {
         add(node);
@@ -159,7 +159,7 @@
     const auto done = [this, i, incarnation, id, answered](const HttpReply& reply) {
         if (*answered || nodes_[i].incarnation != incarnation) return;
         *answered = true;
-        command(i, core::CallDone{id, reply});
+        command(i, controller::CallDone{id, reply});
     };
     const auto cut = cut_for(node, c.service);
     // Without a connection a command is certainly not sent.
@@ -255,7 +255,7 @@
     if (!node.core) return;
     const RequestId id(++next_request_);
     node.waiting.emplace(id, std::move(then));
-    command(i, core::Request{id, plane, method, target, body, false});
+    command(i, controller::Request{id, plane, method, target, body, false});
 }
 
 // ---- workers ----
--- a/tests/sim/world_users.cpp
+++ b/tests/sim/world_users.cpp
@@ -5,8 +5,8 @@
 
 namespace dunebridge::sim {
 
-using core::Answer;
-using core::Plane;
+using controller::Plane;
+using sansio::Answer;
 using wire::JobPhase;
 
 void World::make_users(int jobs) {
--- a/tests/startup_monitor_test.cpp
+++ b/tests/startup_monitor_test.cpp
@@ -1,9 +1,8 @@
 // Machines that come up late or never are replaced within bounds, and places that do not deliver
 // are left alone for a while.
-#include "provisioning/startup_monitor.hpp"
-
 #include <gtest/gtest.h>
 
+#include "provisioning/boot_monitor.hpp"
 #include "sim/ledger_fixture.hpp"
 
 namespace dunebridge::provisioning {
@@ -18,12 +17,12 @@
     StartupMonitor monitor{world.port, world.ledger, types};
     int machines = 0;
 
-    core::Machine& rent(const std::string& zone = "a") {
+    state::Machine& rent(const std::string& zone = "a") {
         auto& machine = world.add_machine(++machines, zone);
         machine.cloud.awaited = true;
         return machine;
     }
-    void come_up(core::Machine& machine) {
+    void come_up(state::Machine& machine) {
         machine.worker.reported = true;
         machine.cloud.starting = false;
         monitor.update();
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -2,11 +2,11 @@
 // the leader keeps its term meanwhile.
 #include <gtest/gtest.h>
 
+#include "kv/keys.hpp"
+#include "kv/records.hpp"
 #include "sim/expect.hpp"
 #include "sim/script.hpp"
 #include "sim/world.hpp"
-#include "state/keys.hpp"
-#include "state/records.hpp"
 
 namespace dunebridge::sim {
 namespace {
@@ -39,8 +39,8 @@
     s.set_writes_lost(true);
     end_task(w, first.id);
     play(s, {&w}, 1);
-    s.write(state::end_key(first.id),
-            encode(state::EndRecord{wire::JobPhase::cancelled, std::nullopt, 1}).packed);
+    s.write(kv::end_key(first.id),
+            encode(kv::EndRecord{wire::JobPhase::cancelled, std::nullopt, 1}).packed);
     s.set_writes_lost(false);
     play(s, {&w}, 5);
     EXPECT_TRUE(s.logged("event=commit_unknown"));
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -4,7 +4,7 @@
 #include <ostream>
 #include <tuple>
 
-#include "cluster/peers.hpp"
+#include "coordination/peer_monitor.hpp"
 #include "sim/expect.hpp"
 #include "sim/script.hpp"
 #include "sim/world.hpp"
@@ -23,10 +23,10 @@
     o.jobs = 40;
     o.machines = 60;
     o.most_tasks = 300;
-    o.old_format = state::kChunkFormat;
+    o.old_format = config::kChunkFormat;
     o.pipelines = 10;
     o.pipelines_after_s = 110;
-    o.limits = state::Limits({200, 80, 16, 48}, state::Limits::Set{200, 56, 2, 16});
+    o.limits = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 56, 2, 16});
     return o;
 }
 
@@ -138,7 +138,7 @@
     return out;
 }
 
-core::Config with_a_peer_unheard() {
+config::Config with_a_peer_unheard() {
     auto config = Script::config();
     config.known.push_back({NodeName("node-1"), "a", "node-1"});
     return config;
@@ -237,7 +237,7 @@
         const auto packed = bytes(hex);
         const auto doc = wire::Document::parse(packed);
         ASSERT_TRUE(doc);
-        const auto heard = cluster::decode_heartbeat(doc->root());
+        const auto heard = coordination::decode_heartbeat(doc->root());
         EXPECT_EQ(heard.node, NodeName("node-1"));
         EXPECT_EQ(heard.term, Term(7));
         EXPECT_TRUE(heard.leads);
@@ -255,14 +255,14 @@
 
 // What this version says of itself, but for the format that it knows, is what the one before said.
 TEST(Heartbeat, IsWrittenAsBefore) {
-    cluster::Heartbeat heartbeat;
+    coordination::Heartbeat heartbeat;
     heartbeat.node = NodeName("node-1");
     heartbeat.term = Term(7);
     heartbeat.leads = heartbeat.state_reachable = true;
     heartbeat.cancellations = {99, 3, {JobId("req-000004"), JobId("req-000005")}};
     heartbeat.progress = {{JobId("req-000001"), 2, 1}};
     heartbeat.format = 3;
-    EXPECT_EQ(cluster::encode(heartbeat), bytes(kFirstWithChainsHeartbeat));
+    EXPECT_EQ(coordination::encode(heartbeat), bytes(kFirstWithChainsHeartbeat));
 }
 
 TEST(ProductionFormat, IsRead) {
@@ -281,7 +281,7 @@
     auto config = Script::config();
     config.format = 2;
     Script script(1, config);
-    script.write(state::kFormatMark, wire::Writer().map(1).text("v").count(3).take());
+    script.write(kv::kFormatMark, wire::Writer().map(1).text("v").count(3).take());
     for (const auto& [key, hex] : kProduction) script.write(key, bytes(hex));
     script.run(Millis(8000));
     EXPECT_FALSE(script.leads());
@@ -291,7 +291,7 @@
 // What no longer fits a record is put off, and the rest of the job goes on.
 TEST(LimitsBeforeTheSwitch, AJobRunsAsManyTasksAsCanBeRecorded) {
     auto config = with_a_peer_unheard();
-    config.state = state::Limits({200, 80, 16, 48}, state::Limits::Set{200, 80, 1, 16});
+    config.state = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 80, 1, 16});
     Script script(1, config);
     script.run(Millis(3000));
     auto large = job(1, 256);
@@ -329,11 +329,11 @@
         world.cancel_running(1);
         world.run_for(s(6));
         if (i + 1 < world.nodes()) {
-            EXPECT_EQ(world.format(), state::kChunkFormat);
+            EXPECT_EQ(world.format(), config::kChunkFormat);
         }
     }
     world.run_for(s(10));
-    EXPECT_EQ(world.format(), state::kNewestFormat);
+    EXPECT_EQ(world.format(), config::kNewestFormat);
     world.lower_limits();
     world.run_for(s(20));
     world.crash_leader(s(2));
@@ -383,7 +383,7 @@
          world.run_for(s(2));
          world.crash_node((leader + 1) % world.nodes(), s(2));
          world.run_for(s(8));
-         EXPECT_NE(world.format(), state::kNewestFormat);
+         EXPECT_NE(world.format(), config::kNewestFormat);
          one_by_one(world, leader + 1);
      }},
     {"BackWithinAFractionOfASecondInMidElection",
@@ -466,13 +466,14 @@
     world.run_for(s(45));
     rollout.play(world);
     world.run_for(s(15));
-    EXPECT_EQ(world.format(), state::kNewestFormat);
+    EXPECT_EQ(world.format(), config::kNewestFormat);
     world.lower_limits();
     expect_good(world);
 }
 INSTANTIATE_TEST_SUITE_P(EveryOrder, RollOuts,
                          testing::Combine(testing::ValuesIn(kRollOuts),
-                                          testing::Values(state::kChunkFormat, state::kRangeFormat),
+                                          testing::Values(config::kChunkFormat,
+                                                          config::kRangeFormat),
                                           testing::Values(1)),
                          [](const auto& row) {
                              return fmt::format("{}From{}Seed{}", std::get<0>(row.param).name,
@@ -488,16 +489,16 @@
     world.upgrade(2, s(2));
     world.crash_node(0, s(70));
     world.run_for(s(30));
-    EXPECT_EQ(world.format(), state::kChunkFormat);
+    EXPECT_EQ(world.format(), config::kChunkFormat);
     world.lower_limits();
     world.run_for(s(25));
     const auto started = world.tasks_started();
     world.run_for(s(15));
     EXPECT_GT(world.tasks_started(), started);
-    EXPECT_EQ(world.format(), state::kChunkFormat);
+    EXPECT_EQ(world.format(), config::kChunkFormat);
     world.upgrade(0, s(2));
     expect_good(world);
-    EXPECT_EQ(world.format(), state::kNewestFormat);
+    EXPECT_EQ(world.format(), config::kNewestFormat);
 }
 
 }  // namespace
