--- a/src/api/ancestor_check.cpp
+++ b/src/api/ancestor_check.cpp
@@ -12,20 +12,21 @@
 constexpr std::size_t kMaxChecks = 64;
 }  // namespace
 
-AncestorCheck::AncestorCheck(sansio::Port& port, kv::Store& store, const config::Config& config,
-                             TokenBucket& reads, Done done)
-    : port_(port), store_(store), config_(config), reads_(reads), done_(std::move(done)) {}
+AncestorCheck::AncestorCheck(sansio::Context& port, kv::KvClient& store,
+                             const config::Config& config, TokenBucket& reads, Done done)
+    : context_(port), kv_client_(store), config_(config), reads_(reads), done_(std::move(done)) {}
 
 Millis AncestorCheck::fresh_for() const { return config_.cancel / kFreshPart; }
 
 bool AncestorCheck::fresh(const JobId& job) const {
     const auto it = none_ended_at_.find(job);
-    return it != none_ended_at_.end() && port_.now() - it->second < fresh_for();
+    return it != none_ended_at_.end() && context_.now() - it->second < fresh_for();
 }
 
 void AncestorCheck::forget_old() {
-    std::erase_if(none_ended_at_,
-                  [this](const auto& entry) { return port_.now() - entry.second >= fresh_for(); });
+    std::erase_if(none_ended_at_, [this](const auto& entry) {
+        return context_.now() - entry.second >= fresh_for();
+    });
 }
 
 void AncestorCheck::start(const JobId& job, const std::vector<JobId>& ancestors) {
@@ -34,7 +35,7 @@
         done_(job, Outcome::unavailable, {});
         return;
     }
-    if (checks_.try_emplace(job, Check{ancestors, port_.now()}).second) next_step(job);
+    if (checks_.try_emplace(job, Check{ancestors, context_.now()}).second) next_step(job);
 }
 
 void AncestorCheck::next_step(const JobId& job) {
@@ -46,17 +47,17 @@
         finish(job, Outcome::none_ended, {});
         return;
     }
-    if (!reads_.take(1, port_.now())) {
-        const auto wait = reads_.ready_at(1, port_.now()) - port_.now();
-        port_.after(wait, [this, job] { next_step(job); });
+    if (!reads_.take(1, context_.now())) {
+        const auto wait = reads_.ready_at(1, context_.now()) - context_.now();
+        context_.after(wait, [this, job] { next_step(job); });
         return;
     }
-    const auto count = std::min(left.size(), store_.max_preconditions());
+    const auto count = std::min(left.size(), kv_client_.max_preconditions());
     std::vector<wire::Precondition> preconditions;
     for (auto id = left.end() - static_cast<std::ptrdiff_t>(count); id != left.end(); ++id) {
-        preconditions.push_back({kv::end_key(*id), KeyRev()});
+        preconditions.push_back({kv::terminal_key(*id), KeyRev()});
     }
-    store_.transact(
+    kv_client_.transact(
         preconditions, {}, kReadTimeout,
         [this, job, count](const kv::TransactionResult& result) { stepped(job, count, result); });
 }
@@ -72,7 +73,7 @@
         std::vector<JobId> ended;
         ended.reserve(result.failed.size());
         for (const auto& key : result.failed)
-            ended.emplace_back(kv::without_prefix(key, kv::kEnds));
+            ended.emplace_back(kv::without_prefix(key, kv::kTerminalPrefix));
         finish(job, Outcome::some_ended, ended);
     } else {
         finish(job, Outcome::unavailable, {});
--- a/src/api/ancestor_check.hpp
+++ b/src/api/ancestor_check.hpp
@@ -24,7 +24,7 @@
     using Done = std::function<void(const JobId& job, Outcome, const std::vector<JobId>& ended)>;
 
     // Takes its requests from the budget, which the caller shares.
-    AncestorCheck(sansio::Port& port, kv::Store& store, const config::Config& config,
+    AncestorCheck(sansio::Context& port, kv::KvClient& store, const config::Config& config,
                   TokenBucket& reads, Done done);
 
     // Whether a check of the job that found none ended is recent enough.
@@ -44,8 +44,8 @@
     void forget_old();
     Millis fresh_for() const;
 
-    sansio::Port& port_;
-    kv::Store& store_;
+    sansio::Context& context_;
+    kv::KvClient& kv_client_;
     const config::Config& config_;
     TokenBucket& reads_;
     Done done_;
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -20,8 +20,8 @@
 }
 }  // namespace
 
-DependencyLookup::DependencyLookup(sansio::Port& port, kv::Store& store, JobCache& cache)
-    : port_(port), store_(store), cache_(cache) {}
+DependencyLookup::DependencyLookup(sansio::Context& port, kv::KvClient& store, JobCache& cache)
+    : context_(port), kv_client_(store), cache_(cache) {}
 
 void DependencyLookup::start(const std::vector<JobId>& dependencies, Instant deadline, Done done) {
     const auto lookup = std::make_shared<Lookup>();
@@ -34,20 +34,20 @@
 }
 
 void DependencyLookup::read_jobs(const Shared& lookup) {
-    store_.get_many(kv::kJobs, lookup->unread, kReadTimeout,
-                    [this, lookup](const kv::RowsResult& rows) {
-                        if (!rows.answered || too_late(*lookup)) {
-                            finish(lookup, Outcome::unavailable);
-                        } else {
-                            take_jobs(lookup, rows);
-                        }
-                    });
+    kv_client_.get_each(kv::kJobPrefix, lookup->unread, kReadTimeout,
+                        [this, lookup](const kv::RowsResult& rows) {
+                            if (!rows.answered || too_late(*lookup)) {
+                                finish(lookup, Outcome::unavailable);
+                            } else {
+                                take_jobs(lookup, rows);
+                            }
+                        });
 }
 
 void DependencyLookup::take_jobs(const Shared& lookup, const kv::RowsResult& rows) {
     auto& ancestors = lookup->result.ancestors;
     for (const auto& id : lookup->unread) {
-        const auto row = rows.rows.find(kv::kJobs + id);
+        const auto row = rows.rows.find(kv::kJobPrefix + id);
         if (row == rows.rows.end()) {
             lookup->without_job.push_back(id);
             continue;
@@ -58,8 +58,8 @@
             ancestors.insert(ancestors.end(), job.ancestors.begin(), job.ancestors.end());
             if (job.dependency_parts > 0) lookup->with_parts.emplace_back(id);
         } catch (const wire::DecodeError& e) {
-            port_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"",
-                      row->second.key, e.what());
+            context_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"",
+                         row->second.key, e.what());
             finish(lookup, Outcome::unavailable);
             return;
         }
@@ -69,24 +69,24 @@
 
 // A job's record goes only after its end is there: one that has neither was never accepted.
 void DependencyLookup::read_ends(const Shared& lookup) {
-    store_.get_many(kv::kEnds, lookup->without_job, kReadTimeout,
-                    [this, lookup](const kv::RowsResult& rows) {
-                        if (!rows.answered || too_late(*lookup)) {
-                            finish(lookup, Outcome::unavailable);
-                        } else if (!take_ends(*lookup, rows)) {
-                            finish(lookup, Outcome::never_accepted);
-                        } else {
-                            read_parts(lookup);
-                        }
-                    });
+    kv_client_.get_each(kv::kTerminalPrefix, lookup->without_job, kReadTimeout,
+                        [this, lookup](const kv::RowsResult& rows) {
+                            if (!rows.answered || too_late(*lookup)) {
+                                finish(lookup, Outcome::unavailable);
+                            } else if (!take_ends(*lookup, rows)) {
+                                finish(lookup, Outcome::never_accepted);
+                            } else {
+                                read_parts(lookup);
+                            }
+                        });
 }
 
 // False if some job has no end.
 bool DependencyLookup::take_ends(Lookup& lookup, const kv::RowsResult& rows) {
     for (const auto& id : lookup.without_job) {
-        const auto row = rows.rows.find(kv::kEnds + id);
+        const auto row = rows.rows.find(kv::kTerminalPrefix + id);
         if (row == rows.rows.end()) return false;
-        const auto end = kv::decode_end(row->second.value);
+        const auto end = kv::decode_terminal_record(row->second.value);
         if (end.done()) {
             const JobId job(id);
             cache_.set_end(job, {job, JobPhase::done, end.tasks.value_or(0), 0});
@@ -104,7 +104,7 @@
     }
     const auto job = lookup->with_parts.back();
     lookup->with_parts.pop_back();
-    store_.list(kv::dependency_prefix(job), [this, lookup](const kv::ListResult& parts) {
+    kv_client_.list(kv::dependency_prefix(job), [this, lookup](const kv::ListResult& parts) {
         if (!parts.answered || too_late(*lookup)) {
             finish(lookup, Outcome::unavailable);
             return;
@@ -115,8 +115,8 @@
             ancestors.insert(ancestors.end(), jobs.begin(), jobs.end());
             read_parts(lookup);
         } catch (const wire::DecodeError& e) {
-            port_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"",
-                      parts.rows.front().key, e.what());
+            context_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"",
+                         parts.rows.front().key, e.what());
             finish(lookup, Outcome::unavailable);
         }
     });
--- a/src/api/dependency_lookup.hpp
+++ b/src/api/dependency_lookup.hpp
@@ -29,7 +29,7 @@
   public:
     using Done = std::function<void(const DependencyResult&)>;
 
-    DependencyLookup(sansio::Port& port, kv::Store& store, JobCache& cache);
+    DependencyLookup(sansio::Context& port, kv::KvClient& store, JobCache& cache);
 
     // Gives up at the deadline.
     void start(const std::vector<JobId>& dependencies, Instant deadline, Done done);
@@ -52,10 +52,10 @@
     bool take_ends(Lookup& lookup, const kv::RowsResult& rows);
     void read_parts(const Shared& lookup);
     void finish(const Shared& lookup, DependencyResult::Outcome outcome);
-    bool too_late(const Lookup& lookup) const { return port_.now() > lookup.deadline; }
+    bool too_late(const Lookup& lookup) const { return context_.now() > lookup.deadline; }
 
-    sansio::Port& port_;
-    kv::Store& store_;
+    sansio::Context& context_;
+    kv::KvClient& kv_client_;
     JobCache& cache_;
 };
 
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -44,8 +44,8 @@
 
 void JobLookup::send(const JobId& job) {
     const bool end = lookups_.at(job).stage == Stage::end;
-    const auto key = end ? kv::end_key(job) : kv::job_key(job);
-    store_.get(key, kReadTimeout, [this, job, end](const kv::GetResult& result) {
+    const auto key = end ? kv::terminal_key(job) : kv::job_key(job);
+    kv_client_.get(key, kReadTimeout, [this, job, end](const kv::GetResult& result) {
         if (!result.answered) {
             finish(job, Kind::unavailable);
         } else if (end) {
@@ -62,7 +62,7 @@
         queue_.push_front(job);
         return;
     }
-    const auto end = kv::decode_end(result.row->value);
+    const auto end = kv::decode_terminal_record(result.row->value);
     finish(job, Kind::ended, {job, end.phase, end.done() ? end.tasks.value_or(0) : 0, 0});
 }
 
@@ -90,7 +90,7 @@
 
 // They were created with the job's record; some are missing only once the job is over.
 void JobLookup::read_parts(const JobId& job, std::uint64_t expected) {
-    store_.list(kv::dependency_prefix(job), [this, job, expected](const kv::ListResult& parts) {
+    kv_client_.list(kv::dependency_prefix(job), [this, job, expected](const kv::ListResult& parts) {
         if (!parts.answered || parts.rows.size() != expected) {
             cache_.set_record(job, KeyRev());  // it is read again next time
             finish(job, Kind::unavailable);
@@ -108,7 +108,7 @@
 }
 
 void JobLookup::bad_record(const JobId& job, const std::string& key, const char* error) {
-    port_.log(LogLevel::error, "event=bad_record key={} error=\"{}\"", key, error);
+    context_.log(LogLevel::error, "event=bad_record key={} error=\"{}\"", key, error);
     finish(job, Kind::unavailable);
 }
 
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -38,8 +38,8 @@
     // All requests that waited for the job, and what was found.
     using Done = std::function<void(std::vector<PendingRequest>, const JobLookupResult&)>;
 
-    JobLookup(sansio::Port& port, kv::Store& store, JobCache& cache, Done done)
-        : port_(port), store_(store), cache_(cache), done_(std::move(done)) {}
+    JobLookup(sansio::Context& port, kv::KvClient& store, JobCache& cache, Done done)
+        : context_(port), kv_client_(store), cache_(cache), done_(std::move(done)) {}
 
     void start(PendingRequest pending, Stage stage);
     // Whether there is a read to be sent, and sends it: the caller keeps to the budget.
@@ -61,8 +61,8 @@
     void bad_record(const JobId& job, const std::string& key, const char* error);
     void finish(const JobId& job, JobLookupResult::Kind kind, wire::JobStatus end = {});
 
-    sansio::Port& port_;
-    kv::Store& store_;
+    sansio::Context& context_;
+    kv::KvClient& kv_client_;
     JobCache& cache_;
     Done done_;
     std::map<JobId, Lookup> lookups_;
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -7,9 +7,9 @@
 
 namespace dunebridge::api {
 
-using kv::end_key;
 using kv::job_key;
 using kv::Outcome;
+using kv::terminal_key;
 using wire::JobPhase;
 using wire::JobStatus;
 
@@ -36,15 +36,15 @@
 }
 }  // namespace
 
-JobService::JobService(sansio::Port& port, kv::Store& store, const config::Config& config,
-                       const std::vector<wire::MachineType>& types, Display display,
-                       Announce announce)
-    : port_(port),
-      store_(store),
+JobService::JobService(sansio::Context& port, kv::KvClient& store, const config::Config& config,
+                       const std::vector<wire::MachineType>& types, ProgressSource display,
+                       BroadcastCancellation broadcast_cancellation)
+    : context_(port),
+      kv_client_(store),
       config_(config),
       types_(types),
-      display_(std::move(display)),
-      announce_(std::move(announce)),
+      progress_source_(std::move(display)),
+      broadcast_cancellation_(std::move(broadcast_cancellation)),
       writes_(kWriteShare * config.state.write_rps()),
       reads_(reads_of_one_node(config)),
       lookup_(port, store, cache_),
@@ -62,7 +62,7 @@
     pending.request = request;
     pending.job = job;
     pending.intent = intent;
-    pending.since = port_.now();
+    pending.since = context_.now();
     return pending;
 }
 
@@ -80,7 +80,7 @@
 // ---- answers ----
 
 void JobService::answer_end(const PendingRequest& pending, const JobStatus& end) {
-    port_.answer(pending.request, 200, wire::encode(end));
+    context_.answer(pending.request, 200, wire::encode(end));
 }
 
 // No answer shows a cancellation that this node's log does not hold yet.
@@ -90,22 +90,22 @@
         answer_end(pending, end);
         return;
     }
-    announce_(end.id, [this, pending = std::move(pending), end] {
+    broadcast_cancellation_(end.id, [this, pending = std::move(pending), end] {
         cache_.set_end(pending.job, end);
         answer_end(pending, end);
     });
 }
 
 void JobService::answer_open(const PendingRequest& pending) {
-    const auto progress = display_(pending.job);
+    const auto progress = progress_source_(pending.job);
     const auto phase = progress.running > 0 ? JobPhase::running : JobPhase::pending;
     const JobStatus status{pending.job, phase, progress.done, progress.running};
-    port_.answer(pending.request, 200, wire::encode(status));
+    context_.answer(pending.request, 200, wire::encode(status));
 }
 
 void JobService::answer_unavailable(const PendingRequest& pending) {
-    const auto spread = static_cast<int>(port_.random() % kRetrySpread_s);
-    port_.answer(pending.request, 503, wire::encode_error("try again"), kRetryAfter_s + spread);
+    const auto spread = static_cast<int>(context_.random() % kRetrySpread_s);
+    context_.answer(pending.request, 503, wire::encode_error("try again"), kRetryAfter_s + spread);
 }
 
 bool JobService::answer_if_ended(const PendingRequest& pending) {
@@ -122,7 +122,8 @@
     auto& queue = pending.intent == Intent::submit ? to_create_ : to_confirm_;
     // Nobody is kept waiting for a service that does not answer, nor in a queue that only grows.
     if (++pending.tries > kMaxTries || queue.size() >= kMaxQueued ||
-        store_.silent_for() > kSilentService || port_.now() - pending.since > kGiveUp) {
+        kv_client_.time_since_response() > kSilentService ||
+        context_.now() - pending.since > kGiveUp) {
         answer_unavailable(pending);
         return;
     }
@@ -142,8 +143,8 @@
         const bool may_confirm = !to_confirm_.empty() && confirming_ < kMaxConfirming;
         const bool may_look_up = lookup_records_.has_unsent();
         if (!may_confirm && !may_look_up) return;
-        if (!reads_.take(1, port_.now())) {
-            port_.wake_at(reads_.ready_at(1, port_.now()));
+        if (!reads_.take(1, context_.now())) {
+            context_.request_wake(reads_.ready_at(1, context_.now()));
             return;
         }
         const bool look_up = may_look_up && (look_up_next_ || !may_confirm);
@@ -155,7 +156,7 @@
 // Those that have waited too long, for the budgets or for a check, are answered 503.
 void JobService::drop_late() {
     const auto late = [this](const PendingRequest& pending) {
-        if (port_.now() - pending.since <= kGiveUp) return false;
+        if (context_.now() - pending.since <= kGiveUp) return false;
         answer_unavailable(pending);
         return true;
     };
@@ -172,10 +173,11 @@
 void JobService::commit_cancellation(PendingRequest pending) {
     const auto* known = cache_.find(pending.job);
     const std::vector<wire::Precondition> preconditions{
-        {job_key(pending.job), known ? known->record : KeyRev()}, {end_key(pending.job), KeyRev()}};
+        {job_key(pending.job), known ? known->record : KeyRev()},
+        {terminal_key(pending.job), KeyRev()}};
     const std::vector<wire::Write> writes{
-        {end_key(pending.job), cancelled_record(port_.wall_ms()), std::nullopt}};
-    store_.transact(
+        {terminal_key(pending.job), cancelled_record(context_.wall_ms()), std::nullopt}};
+    kv_client_.transact(
         preconditions, writes, kWriteTimeout,
         [this, pending = std::move(pending)](const kv::TransactionResult& result) mutable {
             if (result.outcome == Outcome::ok) {
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -34,13 +34,14 @@
 class JobService {
   public:
     // How far an open job is by the leader's own ledger or its heartbeats, for display.
-    using Display = std::function<coordination::Progress(const JobId&)>;
+    using ProgressSource = std::function<coordination::Progress(const JobId&)>;
     // Hands a committed cancellation to whoever must know it before its user is answered, and goes
     // on.
-    using Announce = std::function<void(const JobId&, std::function<void()> then)>;
+    using BroadcastCancellation = std::function<void(const JobId&, std::function<void()> then)>;
 
-    JobService(sansio::Port& port, kv::Store& store, const config::Config& config,
-               const std::vector<wire::MachineType>& types, Display display, Announce announce);
+    JobService(sansio::Context& port, kv::KvClient& store, const config::Config& config,
+               const std::vector<wire::MachineType>& types, ProgressSource display,
+               BroadcastCancellation broadcast_cancellation);
 
     void submit(RequestId request, const std::string& body);
     void poll(RequestId request, const JobId& job);
@@ -99,12 +100,12 @@
     // Cancellations.
     void commit_cancellation(PendingRequest pending);
 
-    sansio::Port& port_;
-    kv::Store& store_;
+    sansio::Context& context_;
+    kv::KvClient& kv_client_;
     const config::Config& config_;
     const std::vector<wire::MachineType>& types_;
-    Display display_;
-    Announce announce_;
+    ProgressSource progress_source_;
+    BroadcastCancellation broadcast_cancellation_;
     TokenBucket writes_;
     TokenBucket reads_;
     JobCache cache_;
--- a/src/api/linearizable_reads.cpp
+++ b/src/api/linearizable_reads.cpp
@@ -6,15 +6,15 @@
 
 namespace dunebridge::api {
 
-using kv::end_key;
 using kv::job_key;
 using kv::Outcome;
+using kv::terminal_key;
 
 // Returns whether the request now waits for a check of its job's ancestors.
 bool JobService::check_ancestors_first(PendingRequest& pending) {
     if (pending.intent == Intent::submit || pending.ancestors_checked) return false;
     const auto& ancestors = cache_.ancestors(pending.job);
-    if (ancestors.size() + 2 <= store_.max_preconditions()) return false;
+    if (ancestors.size() + 2 <= kv_client_.max_preconditions()) return false;
     if (check_.fresh(pending.job)) {
         pending.ancestors_checked = true;
         return false;
@@ -49,7 +49,7 @@
     std::set<JobId> asked;
     std::set<JobId> required;  // whose ends are
     while (!to_confirm_.empty() && preconditions.size() + preconditions_for(to_confirm_.front()) <=
-                                       store_.max_preconditions()) {
+                                       kv_client_.max_preconditions()) {
         auto pending = std::move(to_confirm_.front());
         to_confirm_.pop_front();
         if (asked.insert(pending.job).second) {
@@ -60,11 +60,12 @@
         batch.push_back(std::move(pending));
     }
     ++confirming_;
-    store_.transact(preconditions, {}, kReadTimeout,
-                    [this, batch = std::move(batch)](const kv::TransactionResult& result) mutable {
-                        --confirming_;
-                        confirmed(std::move(batch), result);
-                    });
+    kv_client_.transact(
+        preconditions, {}, kReadTimeout,
+        [this, batch = std::move(batch)](const kv::TransactionResult& result) mutable {
+            --confirming_;
+            confirmed(std::move(batch), result);
+        });
 }
 
 void JobService::answer_confirmed(const PendingRequest& pending) {
@@ -72,10 +73,10 @@
     if (known && known->record != KeyRev()) {
         answer_open(pending);
     } else if (pending.intent == Intent::refuse) {
-        port_.answer(pending.request, pending.refusal.status,
-                     wire::encode_error(pending.refusal.reason));
+        context_.answer(pending.request, pending.refusal.status,
+                        wire::encode_error(pending.refusal.reason));
     } else {
-        port_.answer(pending.request, 404, wire::encode_error("no such job"));
+        context_.answer(pending.request, 404, wire::encode_error("no such job"));
     }
 }
 
@@ -91,7 +92,7 @@
     // Only the keys named as failed are known to differ; the rest is asked again.
     const std::set<std::string> failed(result.failed.begin(), result.failed.end());
     for (auto& pending : batch) {
-        if (failed.contains(end_key(pending.job))) {
+        if (failed.contains(terminal_key(pending.job))) {
             lookup_records_.start(std::move(pending), JobLookup::Stage::end);
         } else if (failed.contains(job_key(pending.job))) {
             lookup_records_.start(std::move(pending), JobLookup::Stage::record);
@@ -143,9 +144,9 @@
 void JobService::require_no_ends(const PendingRequest& pending, std::set<JobId>& required,
                                  std::vector<wire::Precondition>& preconditions) const {
     if (required.insert(pending.job).second)
-        preconditions.push_back({end_key(pending.job), KeyRev()});
+        preconditions.push_back({terminal_key(pending.job), KeyRev()});
     for (const auto& id : required_ancestors(pending)) {
-        if (required.insert(id).second) preconditions.push_back({end_key(id), KeyRev()});
+        if (required.insert(id).second) preconditions.push_back({terminal_key(id), KeyRev()});
     }
 }
 
@@ -157,7 +158,7 @@
                                                const std::set<std::string>& failed) const {
     std::vector<JobId> out;
     for (const auto& id : required_ancestors(pending)) {
-        if (failed.contains(end_key(id))) out.push_back(id);
+        if (failed.contains(terminal_key(id))) out.push_back(id);
     }
     return out;
 }
@@ -176,12 +177,12 @@
                        pending = std::move(pending)](const kv::RowsResult& rows) mutable {
         bool any_cancelled = false;
         for (const auto& id : ended) {
-            const auto row = rows.rows.find(end_key(id));
+            const auto row = rows.rows.find(terminal_key(id));
             if (!rows.answered || row == rows.rows.end()) {
                 answer_unavailable(pending);
                 return;
             }
-            const bool done = kv::decode_end(row->second.value).done();
+            const bool done = kv::decode_terminal_record(row->second.value).done();
             any_cancelled = any_cancelled || !done;
             if (done) ancestor_done(pending, id);
         }
@@ -194,7 +195,7 @@
             enqueue(std::move(pending));
         }
     };
-    store_.get_many(kv::kEnds, std::move(ids), kReadTimeout, then);
+    kv_client_.get_each(kv::kTerminalPrefix, std::move(ids), kReadTimeout, then);
 }
 
 }  // namespace dunebridge::api
--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -35,7 +35,7 @@
 }
 
 std::string cancelled_record(std::int64_t now_ms) {
-    return encode(kv::EndRecord{wire::JobPhase::cancelled, std::nullopt, now_ms}).packed;
+    return encode(kv::TerminalRecord{wire::JobPhase::cancelled, std::nullopt, now_ms}).packed;
 }
 
 Preparation SubmissionRecords::prepare(Submission& submission, std::uint64_t format,
@@ -45,7 +45,8 @@
     submission.bytes = 0;
     const auto& spec = submission.record.spec;
     if (submission.cancelled) {
-        submission.writes.push_back({kv::end_key(spec.id), cancelled_record(now_ms), std::nullopt});
+        submission.writes.push_back(
+            {kv::terminal_key(spec.id), cancelled_record(now_ms), std::nullopt});
     } else if (!prepare_one_record(submission)) {
         if (spec.waits_on.empty()) return Preparation::too_large;
         // An older leader would not find the parts, and start the tasks early.
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -8,9 +8,9 @@
 
 namespace dunebridge::api {
 
-using kv::end_key;
 using kv::job_key;
 using kv::Outcome;
+using kv::terminal_key;
 using wire::JobPhase;
 using wire::JobStatus;
 
@@ -23,7 +23,7 @@
     const auto document = wire::Document::parse(body);
     const auto id = document ? wire::peek_job_id(document->root()) : std::nullopt;
     if (!document || !id) {
-        port_.answer(request, 400, wire::encode_error("malformed"));
+        context_.answer(request, 400, wire::encode_error("malformed"));
         return;
     }
     auto pending = new_request(request, *id, Intent::submit);
@@ -69,14 +69,14 @@
         look_up_dependencies(std::move(pending));
         return;
     }
-    store_.get(kv::kFormatMark, kReadTimeout,
-               [this, pending = std::move(pending)](const kv::GetResult& result) mutable {
-                   if (result.answered && result.row) {
-                       format_ = result.row->value["v"].count().value_or(format_);
-                   }
-                   format_ >= config::kRangeFormat ? look_up_dependencies(std::move(pending))
-                                                   : answer_unavailable(pending);
-               });
+    kv_client_.get(kv::kFormatMark, kReadTimeout,
+                   [this, pending = std::move(pending)](const kv::GetResult& result) mutable {
+                       if (result.answered && result.row) {
+                           format_ = result.row->value["v"].count().value_or(format_);
+                       }
+                       format_ >= config::kRangeFormat ? look_up_dependencies(std::move(pending))
+                                                       : answer_unavailable(pending);
+                   });
 }
 
 void JobService::look_up_dependencies(PendingRequest pending) {
@@ -105,7 +105,7 @@
 // ---- records ----
 
 void JobService::prepare(PendingRequest pending) {
-    switch (records_.prepare(pending.submission, format_, port_.wall_ms())) {
+    switch (records_.prepare(pending.submission, format_, context_.wall_ms())) {
         case Preparation::ready:
             enqueue(std::move(pending));
             break;
@@ -126,7 +126,7 @@
 bool JobService::fits_transaction(const PendingRequest& pending, std::size_t preconditions,
                                   std::size_t writes, std::size_t bytes) const {
     if (writes == 0) return true;  // whatever it takes, it was made to fit one alone
-    return preconditions + preconditions_for(pending) <= store_.max_preconditions() &&
+    return preconditions + preconditions_for(pending) <= kv_client_.max_preconditions() &&
            writes + pending.submission.writes.size() <= config_.state.txn_ops() &&
            bytes + pending.submission.bytes <= kTransactionBytes;
 }
@@ -136,8 +136,8 @@
         std::size_t wanted = 0;
         for (const auto& pending : to_create_) wanted += pending.submission.writes.size();
         const auto changes = static_cast<double>(std::min(wanted, config_.state.txn_ops()));
-        if (!writes_.take(changes, port_.now())) {
-            port_.wake_at(writes_.ready_at(changes, port_.now()));
+        if (!writes_.take(changes, context_.now())) {
+            context_.request_wake(writes_.ready_at(changes, context_.now()));
             return;
         }
         std::vector<wire::Precondition> preconditions;
@@ -160,7 +160,7 @@
             batch.push_back(std::move(pending));
         }
         ++creating_;
-        store_.transact(
+        kv_client_.transact(
             preconditions, writes, kWriteTimeout,
             [this, batch = std::move(batch)](const kv::TransactionResult& result) mutable {
                 --creating_;
@@ -179,7 +179,7 @@
         cache_.set_record(pending.job, rev);
         cache_.set_ancestors(pending.job, pending.submission.record.ancestors);
     }
-    port_.answer(pending.request, 201, wire::encode(status));
+    context_.answer(pending.request, 201, wire::encode(status));
 }
 
 void JobService::jobs_created(std::vector<PendingRequest> batch,
@@ -188,14 +188,15 @@
     for (auto& pending : batch) {
         if (result.outcome == Outcome::ok) {
             answer_created(pending, result.rev);
-        } else if (result.outcome == Outcome::refused && store_.reachable()) {
+        } else if (result.outcome == Outcome::refused && kv_client_.reachable()) {
             // The service is over its rate: certainly not written, and taken again as the budget
             // allows.
             enqueue(std::move(pending));
         } else if (result.outcome != Outcome::conflict) {
             // Not written, or not known: the user's repeat finds out.
             answer_unavailable(pending);
-        } else if (failed.contains(job_key(pending.job)) || failed.contains(end_key(pending.job))) {
+        } else if (failed.contains(job_key(pending.job)) ||
+                   failed.contains(terminal_key(pending.job))) {
             pending.intent = Intent::poll;
             lookup_records_.start(std::move(pending), JobLookup::Stage::end);
         } else {
--- a/src/app/runtime.cpp
+++ b/src/app/runtime.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t kBackIds = std::uint64_t{1} << 62;
 constexpr auto kSweepEvery = std::chrono::seconds(5);
 constexpr auto kIdleLimit = std::chrono::seconds(60);
-// Commands to one worker come in bursts; a connection kept for longer does not pay.
+// CommandBatch to one worker come in bursts; a connection kept for longer does not pay.
 constexpr auto kIdleCommands = std::chrono::seconds(20);
 constexpr Millis kIdleFront{60000};
 // A timer that fires so late shows that the process stood still, or had no processor time.
@@ -43,7 +43,7 @@
       services_(io_, sockets_.service, kIdleLimit),
       peers_(io_, sockets_.peers, kIdleLimit),
       commands_(io_, sockets_.commands, kIdleCommands) {
-    const auto take = [this](controller::Plane plane) {
+    const auto take = [this](controller::Listener plane) {
         return [this, plane](net::HttpRequest&& r) {
             post(controller::Request{r.id, plane, std::move(r.method), std::move(r.target),
                                      std::move(r.body), r.too_large});
@@ -52,9 +52,9 @@
     const net::HttpServer::Limits front{sockets_.front, std::max(kIdleFront, config.report * 4)};
     const net::HttpServer::Limits back{sockets_.back, kIdleFront};
     front_ = std::make_unique<net::HttpServer>(io_, config.public_addr, front, 0,
-                                               take(controller::Plane::front));
+                                               take(controller::Listener::front));
     back_ = std::make_unique<net::HttpServer>(io_, config.back_addr, back, kBackIds,
-                                              take(controller::Plane::back));
+                                              take(controller::Listener::back));
 }
 
 void Runtime::run() {
@@ -71,7 +71,7 @@
         std::chrono::duration_cast<Millis>(std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-// Commands that come in the same turn of the loop are worked through as one batch.
+// CommandBatch that come in the same turn of the loop are worked through as one batch.
 void Runtime::post(controller::Command&& command) {
     queue_.push_back(std::move(command));
     if (step_posted_) return;
@@ -85,11 +85,11 @@
     batch.swap(queue_);
     const auto wall =
         std::chrono::duration_cast<Millis>(std::chrono::system_clock::now().time_since_epoch());
-    const auto begun = now();
-    auto effects = core_.apply(std::move(batch), begun, wall.count());
+    const auto has_started = now();
+    auto effects = core_.apply(std::move(batch), has_started, wall.count());
     // The process may have stood still just now, for longer than a leadership lasts.
-    now() - begun < config_.tuning.leader_lease ? carry_out(std::move(effects))
-                                                : give_up(std::move(effects));
+    now() - has_started < config_.tuning.leader_lease ? carry_out(std::move(effects))
+                                                      : release(std::move(effects));
     arm(core_.wake());
 }
 
@@ -112,7 +112,7 @@
 
 // Every timer is overdue now: reports, heartbeats and answers that have come meanwhile are taken
 // first, so that none of their senders counts as silent. Whoever led steps back before it acts
-// (LeadershipRules::step_back_after_stall).
+// (LeadershipGuard::suspend_leadership_after_stall).
 void Runtime::catch_up(Millis late) {
     spdlog::error("node={} event=stood_still for_s={:.1f}", config_.name.get(), to_seconds(late));
     arm(now() + kCatchUp);
@@ -120,12 +120,12 @@
 
 // What was decided before a stand-still is not acted on: nothing is sent, and nothing answered as
 // by one entitled to.
-void Runtime::give_up(sansio::Effects&& effects) {
+void Runtime::release(sansio::Effects&& effects) {
     for (auto& answer : effects.answers) {
         answer = {answer.id, 503, wire::encode_error("stood still"), 1};
     }
     for (const auto& c : effects.calls)
-        post(controller::CallDone{c.id, {sansio::HttpReply::kUnsent, {}}});
+        post(controller::CallCompleted{c.id, {sansio::HttpResult::kNotSent, {}}});
     effects.calls.clear();
     carry_out(std::move(effects));
 }
@@ -145,18 +145,18 @@
 asio::awaitable<void> Runtime::call(sansio::HttpCall c, Instant decided) {
     // The process may have stood still since: what it decided as the leader is not sent any more.
     if (now() - decided >= config_.tuning.leader_lease) {
-        post(controller::CallDone{c.id, {sansio::HttpReply::kUnsent, {}}});
+        post(controller::CallCompleted{c.id, {sansio::HttpResult::kNotSent, {}}});
         co_return;
     }
     std::string address = c.endpoint;
-    if (c.service == sansio::Service::state) address = config_.state_addr;
-    if (c.service == sansio::Service::cloud) address = config_.cloud_addr;
-    auto& client = c.service == sansio::Service::worker ? commands_
-                   : c.service == sansio::Service::peer ? peers_
-                                                        : services_;
+    if (c.service == sansio::Destination::state) address = config_.state_addr;
+    if (c.service == sansio::Destination::cloud) address = config_.cloud_addr;
+    auto& client = c.service == sansio::Destination::worker ? commands_
+                   : c.service == sansio::Destination::peer ? peers_
+                                                            : services_;
     auto reply = co_await client.call(std::move(address), std::move(c.method), std::move(c.target),
                                       std::move(c.body), c.timeout);
-    post(controller::CallDone{c.id, std::move(reply)});
+    post(controller::CallCompleted{c.id, std::move(reply)});
 }
 
 // A connection that is kept spares a new one for the next command, so the workers have the places
--- a/src/app/runtime.hpp
+++ b/src/app/runtime.hpp
@@ -20,7 +20,7 @@
     void post(controller::Command&& command);
     void step();
     void carry_out(sansio::Effects&& effects);
-    void give_up(sansio::Effects&& effects);
+    void release(sansio::Effects&& effects);
     void arm(Instant wake);
     void catch_up(Millis late);
     boost::asio::awaitable<void> call(sansio::HttpCall call, Instant decided);
@@ -31,7 +31,7 @@
     const config::Config config_;
     const config::SocketBudget sockets_;
     boost::asio::io_context io_{1};
-    controller::Core core_;
+    controller::Controller core_;
     net::HttpClient services_;  // the state service and the cloud
     net::HttpClient peers_;
     net::HttpClient commands_;  // to workers
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -100,7 +100,7 @@
                                 t.number_or("gpus_max", 0, 0, 1e9)});
     }
     for (const auto& o : cluster.list("objectives")) {
-        config::Objective objective;
+        config::ServiceLevelObjective objective;
         objective.kind = o.text("kind");
         objective.within_s = o.number_or("within_s", 0, 0, most);
         try {
--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -50,10 +50,10 @@
 inline double to_seconds(Millis d) { return static_cast<double>(d.count()) / 1000.0; }
 
 // The order of a worker's messages: the larger (session, sequence) is the newer one.
-struct ReportOrder {
+struct HeartbeatSequence {
     std::uint64_t session = 0;
     std::uint64_t sequence = 0;
-    auto operator<=>(const ReportOrder&) const = default;
+    auto operator<=>(const HeartbeatSequence&) const = default;
 };
 
 // One task of a job: "req-000412/3".
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -22,13 +22,13 @@
     double gpus_max = 0;
 };
 
-struct Objective {
+struct ServiceLevelObjective {
     std::string kind;
     std::string job_class;
     double within_s = 0;
 };
 
-struct KnownNode {
+struct PeerAddress {
     NodeName name;
     std::string zone;
     std::string back;  // address for the other controllers
@@ -75,14 +75,14 @@
     std::string zone;
     std::string public_addr;
     std::string back_addr;
-    std::vector<KnownNode> known;
+    std::vector<PeerAddress> known;
     std::string cloud_addr;
     std::string state_addr;
 
     std::vector<std::string> zones;
     Millis skew{0};
     std::vector<Team> teams;
-    std::vector<Objective> objectives;
+    std::vector<ServiceLevelObjective> objectives;
 
     Millis report{3000};
     Millis lease{30000};
@@ -104,13 +104,13 @@
     // For how long a leader that may have missed a cancellation may go on renewing leases: they
     // must end, with clocks that drift, within `cancel` of the moment at which the user was
     // answered.
-    static constexpr Millis kMinUnsure{2000};
-    Millis max_unsure() const {
+    static constexpr Millis kMinCancellationStaleness{2000};
+    Millis max_cancellation_staleness() const {
         constexpr double drift = 1.002;
         constexpr Millis margin{1000};
         const Millis longest(static_cast<std::int64_t>(static_cast<double>(lease.count()) * drift));
         // Settings that leave nothing rest on the peers' heartbeats, which come every second.
-        return std::max(cancel - longest - margin, kMinUnsure);
+        return std::max(cancel - longest - margin, kMinCancellationStaleness);
     }
 
     // The team of that name, or null.
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -25,77 +25,77 @@
 
 namespace dunebridge::controller {
 
-enum class Plane : std::uint8_t { front, back };
+enum class Listener : std::uint8_t { front, back };
 
 struct Request {
     RequestId id;
-    Plane plane = Plane::front;
+    Listener plane = Listener::front;
     std::string method;
     std::string target;
     std::string body;
     bool too_large = false;
 };
-struct CallDone {
+struct CallCompleted {
     CallId id;
-    sansio::HttpReply reply;
+    sansio::HttpResult reply;
 };
-using Command = std::variant<Request, CallDone>;
+using Command = std::variant<Request, CallCompleted>;
 
-class Core {
+class Controller {
   public:
-    Core(config::Config config, std::uint64_t seed, sansio::LogLevel level);
-    Core(const Core&) = delete;
-    Core& operator=(const Core&) = delete;
-    Core(Core&&) = delete;
-    Core& operator=(Core&&) = delete;
-    ~Core() = default;
+    Controller(config::Config config, std::uint64_t seed, sansio::LogLevel level);
+    Controller(const Controller&) = delete;
+    Controller& operator=(const Controller&) = delete;
+    Controller(Controller&&) = delete;
+    Controller& operator=(Controller&&) = delete;
+    ~Controller() = default;
 
     sansio::Effects apply(std::vector<Command>&& batch, Instant now, std::int64_t wall_ms);
     // When apply() wants to be called even without commands.
-    Instant wake() const { return port_.wake(); }
+    Instant wake() const { return context_.wake(); }
 
     // For tests and measurements.
-    bool leads() const { return election_.is_leader() && ledger_.loaded(); }
+    bool leads() const { return election_.is_leader() && state_.loaded(); }
 
   private:
     void handle(Request&& request);
-    void handle_back(const Request& request);
+    void handle_peer_request(const Request& request);
     void handle_job(const Request& request, const std::string& rest);
-    void handle_checkin(const Request& request);
-    void handle_ready(const Request& request);
+    void handle_worker_heartbeat(const Request& request);
+    void handle_readiness(const Request& request);
     bool ready() const;
     void cancelled(const JobId& id);
-    void cancel_in_ledger(const JobId& id);
-    NodeName leader_to_tell() const;
-    void announce(const JobId& id, std::function<void()> then);
-    void take_over();
+    void cancel_in_state(const JobId& id);
+    NodeName leader_to_notify() const;
+    void broadcast_cancellation(const JobId& id, std::function<void()> then);
+    void complete_failover();
     void apply_cancellations();
     void restore_faulty_jobs();
     std::vector<JobId> faulty_jobs();
-    void follow_leadership();
+    void handle_leadership_change();
     void schedule();
-    std::uint64_t format_of_all() const;
+    std::uint64_t common_record_format() const;
     coordination::Heartbeat heartbeat();
     coordination::Progress progress(const JobId& id);
 
     const config::Config config_;
-    sansio::Port port_;
-    kv::Store store_;
+    sansio::Context context_;
+    kv::KvClient kv_client_;
     coordination::Election election_;
     coordination::CancellationLog cancellations_;
-    coordination::Peers peers_;
-    state::Ledger ledger_;
-    state::LedgerLoader loader_;
-    state::LedgerCommitter committer_;
-    workers::Workers workers_;
+    coordination::PeerMonitor peer_monitor_;
+    state::ClusterState state_;
+    state::ClusterStateLoader loader_;
+    state::ClusterStateWriter writer_;
+    workers::WorkerManager workers_;
     provisioning::Provisioner provisioner_;
     scheduler::Scheduler scheduler_;
     api::JobService jobs_;
-    LeadershipRules rules_;
-    CheckinRelay relay_;
+    LeadershipGuard leadership_guard_;
+    HeartbeatRelay heartbeat_relay_;
     std::uint64_t generation_ = 0;
-    std::uint64_t taken_over_ = 0;        // the generation whose ledger has been completed
-    std::vector<JobId> own_faulty_jobs_;  // as last told while leading
+    std::uint64_t failover_completed_ = 0;  // the generation whose ledger has been completed
+    std::vector<JobId> own_faulty_jobs_;    // as last told while leading
     bool led_ = false;
     Instant last_apply_{};
     Instant next_schedule_{};
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -12,11 +12,16 @@
 constexpr int kRetryAfter_s = 1;
 }  // namespace
 
-CheckinRelay::CheckinRelay(sansio::Port& port, const config::Config& config, const kv::Store& store,
-                           const coordination::Election& election, const coordination::Peers& peers)
-    : port_(port), config_(config), store_(store), election_(election), peers_(peers) {}
+HeartbeatRelay::HeartbeatRelay(sansio::Context& port, const config::Config& config,
+                               const kv::KvClient& store, const coordination::Election& election,
+                               const coordination::PeerMonitor& peers)
+    : context_(port),
+      config_(config),
+      kv_client_(store),
+      election_(election),
+      peer_monitor_(peers) {}
 
-void CheckinRelay::handle(RequestId id, const std::string& body, wire::Value report) {
+void HeartbeatRelay::handle(RequestId id, const std::string& body, wire::Value report) {
     const auto leader = known_leader();
     const bool relayed =
         !leader.get().empty() && redirected_lately(HostName(report["host"].need_text("host")));
@@ -30,42 +35,43 @@
 }
 
 // The leader to send workers to; never this node, and empty if none is known.
-NodeName CheckinRelay::known_leader() const {
-    auto leader = peers_.leader();
-    if (leader.get().empty() && store_.reachable()) leader = election_.seen_leader();
+NodeName HeartbeatRelay::known_leader() const {
+    auto leader = peer_monitor_.leader();
+    if (leader.get().empty() && kv_client_.reachable()) leader = election_.observed_leader();
     return leader == config_.name ? NodeName() : leader;
 }
 
-void CheckinRelay::redirect(RequestId id, const NodeName& leader) {
+void HeartbeatRelay::redirect(RequestId id, const NodeName& leader) {
     if (election_.is_leader()) {  // its ledger is still being read
-        port_.answer(id, 503, wire::encode_error("starting"), kRetryAfter_s);
+        context_.answer(id, 503, wire::encode_error("starting"), kRetryAfter_s);
     } else if (leader.get().empty()) {
-        port_.answer(id, 503, wire::encode_error("no leader"), kRetryAfter_s);
+        context_.answer(id, 503, wire::encode_error("no leader"), kRetryAfter_s);
     } else {
-        port_.answer(id, 421, wire::encode_redirect(leader.get()));
+        context_.answer(id, 421, wire::encode_redirect(leader.get()));
     }
 }
 
-bool CheckinRelay::redirected_lately(const HostName& host) {
-    if (port_.now() >= next_forget_) {
-        next_forget_ = port_.now() + kForgetEvery;
+bool HeartbeatRelay::redirected_lately(const HostName& host) {
+    if (context_.now() >= next_forget_) {
+        next_forget_ = context_.now() + kForgetEvery;
         std::erase_if(redirected_,
-                      [&](const auto& entry) { return port_.now() - entry.second > kRelayFor; });
+                      [&](const auto& entry) { return context_.now() - entry.second > kRelayFor; });
     }
-    return !redirected_.try_emplace(host, port_.now()).second;
+    return !redirected_.try_emplace(host, context_.now()).second;
 }
 
 // The leader's own answer, with its token, is handed on: this node adds nothing.
-void CheckinRelay::relay(RequestId id, const std::string& body, const config::KnownNode& leader) {
-    port_.call(sansio::Service::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
-               [this, id](const sansio::HttpReply& reply) {
-                   if (reply.status == 200) {
-                       port_.answer(id, 200, reply.body);
-                   } else {
-                       port_.answer(id, 503, wire::encode_error("leader not reached"),
-                                    kRetryAfter_s);
-                   }
-               });
+void HeartbeatRelay::relay(RequestId id, const std::string& body,
+                           const config::PeerAddress& leader) {
+    context_.call(sansio::Destination::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
+                  [this, id](const sansio::HttpResult& reply) {
+                      if (reply.status == 200) {
+                          context_.answer(id, 200, reply.body);
+                      } else {
+                          context_.answer(id, 503, wire::encode_error("leader not reached"),
+                                          kRetryAfter_s);
+                      }
+                  });
 }
 
 }  // namespace dunebridge::controller
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -16,10 +16,10 @@
 
 namespace dunebridge::controller {
 
-class CheckinRelay {
+class HeartbeatRelay {
   public:
-    CheckinRelay(sansio::Port& port, const config::Config& config, const kv::Store& store,
-                 const coordination::Election& election, const coordination::Peers& peers);
+    HeartbeatRelay(sansio::Context& port, const config::Config& config, const kv::KvClient& store,
+                   const coordination::Election& election, const coordination::PeerMonitor& peers);
 
     // Throws wire::DecodeError if the report names no host.
     void handle(RequestId id, const std::string& body, wire::Value report);
@@ -28,13 +28,13 @@
     NodeName known_leader() const;
     bool redirected_lately(const HostName& host);
     void redirect(RequestId id, const NodeName& leader);
-    void relay(RequestId id, const std::string& body, const config::KnownNode& leader);
+    void relay(RequestId id, const std::string& body, const config::PeerAddress& leader);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     const config::Config& config_;
-    const kv::Store& store_;
+    const kv::KvClient& kv_client_;
     const coordination::Election& election_;
-    const coordination::Peers& peers_;
+    const coordination::PeerMonitor& peer_monitor_;
     std::map<HostName, Instant> redirected_;  // and when each was first
     Instant next_forget_{};
 };
--- a/src/controller/leadership_guard.hpp
+++ b/src/controller/leadership_guard.hpp
@@ -11,31 +11,31 @@
 
 namespace dunebridge::controller {
 
-class LeadershipRules {
+class LeadershipGuard {
   public:
-    LeadershipRules(sansio::Port& port, const config::Config& config, const kv::Store& store,
-                    coordination::Election& election, const coordination::Peers& peers,
-                    state::Ledger& ledger);
+    LeadershipGuard(sansio::Context& port, const config::Config& config, const kv::KvClient& store,
+                    coordination::Election& election, const coordination::PeerMonitor& peers,
+                    state::ClusterState& ledger);
 
     // Nothing is decided or answered as the leader after a stand-still of the process. Returns
     // whether there was one.
-    bool step_back_after_stall(Instant last_run);
+    bool suspend_leadership_after_stall(Instant last_run);
     // Nor by a leader that reaches neither the state service nor another node.
-    void step_back_if_isolated();
+    void suspend_leadership_if_isolated();
     // A leader that no worker reaches is of no use: another may be.
-    void resign_if_unreached();
+    void resign_if_no_worker_heartbeats();
     // Whether leases may be renewed by a node that knows all ends up to then from the state
     // service.
     bool may_renew_leases(Instant ends_read_at);
 
   private:
-    sansio::Port& port_;
+    sansio::Context& context_;
     const config::Config& config_;
-    const kv::Store& store_;
+    const kv::KvClient& kv_client_;
     coordination::Election& election_;
-    const coordination::Peers& peers_;
-    state::Ledger& ledger_;
-    const Millis max_unsure_;
+    const coordination::PeerMonitor& peer_monitor_;
+    state::ClusterState& state_;
+    const Millis max_cancellation_staleness_;
 };
 
 }  // namespace dunebridge::controller
--- a/src/coordination/cancellation_log.cpp
+++ b/src/coordination/cancellation_log.cpp
@@ -9,29 +9,29 @@
 constexpr Millis kForgetEvery{5000};
 }  // namespace
 
-CancellationLog::CancellationLog(sansio::Port& port, const config::Config& config)
-    : port_(port), config_(config) {
+CancellationLog::CancellationLog(sansio::Context& port, const config::Config& config)
+    : context_(port), config_(config) {
     part_.incarnation = port.random() | 1u;
 }
 
 bool CancellationLog::add(const JobId& id) {
-    if (!known_.try_emplace(id, port_.now()).second) return false;
+    if (!known_.try_emplace(id, context_.now()).second) return false;
     part_.jobs.push_back(id);
-    since_.push_back(port_.now());
+    since_.push_back(context_.now());
     return true;
 }
 
 const CancellationLogPart& CancellationLog::kept() {
     std::size_t over = part_.jobs.size() > kMaxKept ? part_.jobs.size() - kMaxKept : 0;
     const auto keep = config_.cancel * 3 / 2;
-    while (over < since_.size() && port_.now() - since_[over] > keep) ++over;
+    while (over < since_.size() && context_.now() - since_[over] > keep) ++over;
     const auto end = static_cast<std::ptrdiff_t>(over);
     part_.jobs.erase(part_.jobs.begin(), part_.jobs.begin() + end);
     since_.erase(since_.begin(), since_.begin() + end);
     part_.first += over;
-    if (port_.now() >= next_forget_) {
-        next_forget_ = port_.now() + kForgetEvery;
-        std::erase_if(known_, [&](const auto& k) { return port_.now() - k.second > 2 * keep; });
+    if (context_.now() >= next_forget_) {
+        next_forget_ = context_.now() + kForgetEvery;
+        std::erase_if(known_, [&](const auto& k) { return context_.now() - k.second > 2 * keep; });
     }
     return part_;
 }
--- a/src/coordination/cancellation_log.hpp
+++ b/src/coordination/cancellation_log.hpp
@@ -28,7 +28,7 @@
 
 class CancellationLog {
   public:
-    CancellationLog(sansio::Port& port, const config::Config& config);
+    CancellationLog(sansio::Context& port, const config::Config& config);
 
     // Returns whether it was not known.
     bool add(const JobId& id);
@@ -36,7 +36,7 @@
     const CancellationLogPart& kept();
 
   private:
-    sansio::Port& port_;
+    sansio::Context& context_;
     const config::Config& config_;
     CancellationLogPart part_;
     std::deque<Instant> since_;  // of each job in part_
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -11,14 +11,14 @@
 constexpr Millis kTimeout{2500};  // the service may be slow without being down
 }  // namespace
 
-Election::Election(sansio::Port& port, kv::Store& store, const config::Config& config)
-    : port_(port),
-      store_(store),
+Election::Election(sansio::Context& port, kv::KvClient& store, const config::Config& config)
+    : context_(port),
+      kv_client_(store),
       config_(config),
       // A restarted node is a new incarnation: it must not take its predecessor's key for its own.
       incarnation_(fmt::format("{:016x}", port.random())) {}
 
-std::string Election::lead_value(Term term) const {
+std::string Election::leader_value(Term term) const {
     return wire::Writer()
         .map(3)
         .text("node")
@@ -31,19 +31,19 @@
 }
 
 void Election::tick() {
-    const auto now = port_.now();
+    const auto now = context_.now();
     if (!observed_) {
         if (!reading_ && now >= next_read_) observe();
-        if (!reading_) port_.wake_at(next_read_);
+        if (!reading_) context_.request_wake(next_read_);
     } else if (!watching_) {
         watch();
     }
-    const bool vacant = observed_ && seen_rev_ == KeyRev() && !leader_ && now >= aside_until_;
+    const bool vacant = observed_ && seen_rev_ == KeyRev() && !leader_ && now >= no_campaign_until_;
     if (!campaigning_ && (renew_term_ || (vacant && eligible_))) {
         if (now >= next_campaign_) {
             campaign();
         } else {
-            port_.wake_at(next_campaign_);
+            context_.request_wake(next_campaign_);
         }
     }
     // A lease that no key hangs on is left to end by itself.
@@ -52,53 +52,53 @@
         if (now >= next_renewal_) {
             renew_lease();
         } else {
-            port_.wake_at(next_renewal_);
+            context_.request_wake(next_renewal_);
         }
     }
 }
 
 void Election::observe() {
     reading_ = true;
-    store_.list(kLeadKey, [this](const kv::ListResult& result) {
+    kv_client_.list(kLeaderKey, [this](const kv::ListResult& result) {
         reading_ = false;
         if (!result.answered) {
-            next_read_ = port_.now() + kRetry + port_.jitter(kRetry);
+            next_read_ = context_.now() + kRetry + context_.jitter(kRetry);
             return;
         }
         observed_ = true;
         watch_from_ = result.rev;
         bool found = false;
         for (const auto& row : result.rows) {
-            if (row.key != kLeadKey) continue;
-            saw_lead(row.value, row.rev);
+            if (row.key != kLeaderKey) continue;
+            observe_leader_key(row.value, row.rev);
             found = true;
         }
-        if (!found) saw_no_lead();
+        if (!found) observe_no_leader();
     });
 }
 
 void Election::watch() {
     watching_ = true;
-    store_.watch(kLeadKey, watch_from_, kWatchWait, [this](const kv::WatchResult& result) {
+    kv_client_.watch(kLeaderKey, watch_from_, kWatchWait, [this](const kv::WatchResult& result) {
         watching_ = false;
         if (result.kind != kv::WatchResult::Kind::changes) {
             observed_ = false;
-            next_read_ = port_.now() + port_.jitter(kRetry);
+            next_read_ = context_.now() + context_.jitter(kRetry);
             return;
         }
         watch_from_ = result.rev;
         for (const auto& change : result.changes) {
-            if (change.key != kLeadKey) continue;
-            change.removed ? saw_no_lead() : saw_lead(change.value, change.rev);
+            if (change.key != kLeaderKey) continue;
+            change.removed ? observe_no_leader() : observe_leader_key(change.value, change.rev);
         }
     });
 }
 
-void Election::saw_lead(wire::Value value, KeyRev rev) {
+void Election::observe_leader_key(wire::Value value, KeyRev rev) {
     // A read that was overtaken by this node's own later write says nothing new.
-    if (leader_ && rev.get() <= lead_rev_.get()) return;
+    if (leader_ && rev.get() <= leader_key_revision_.get()) return;
     seen_rev_ = rev;
-    seen_leader_ = NodeName(std::string(value["node"].text().value_or("")));
+    observed_leader_ = NodeName(std::string(value["node"].text().value_or("")));
     seen_term_ = Term(value["term"].count().value_or(0));
     const bool own = value["incarnation"].text() == incarnation_;
     if (!own) {
@@ -106,8 +106,9 @@
         if (leader_) step_down("another node leads");
         return;
     }
-    if (rev == lead_rev_) {
-        if (port_.now() < aside_until_) return;  // it resigned; the key goes with its lease
+    if (rev == leader_key_revision_) {
+        if (context_.now() < no_campaign_until_)
+            return;  // it resigned; the key goes with its lease
         // Left while the key still stood: something sent under this revision may still be under
         // way, so this term must not be taken up again.
         renew_term_ = true;
@@ -115,51 +116,52 @@
     }
     // The answer to the proposal was lost or is overtaken: the key is this incarnation's, so no
     // other node can hold a later term while it stands at this revision.
-    take_office(seen_term_, rev);
+    begin_term(seen_term_, rev);
 }
 
-void Election::take_office(Term term, KeyRev rev) {
-    lead_rev_ = seen_rev_ = rev;
+void Election::begin_term(Term term, KeyRev rev) {
+    leader_key_revision_ = seen_rev_ = rev;
     term_ = seen_term_ = term;
-    seen_leader_ = config_.name;
+    observed_leader_ = config_.name;
     renew_term_ = false;
     leader_ = true;
     ++generation_;
-    port_.log(LogLevel::info, "event=elected node={} term={}", config_.name.get(), term.get());
+    context_.log(LogLevel::info, "event=elected node={} term={}", config_.name.get(), term.get());
 }
 
-void Election::saw_no_lead() {
+void Election::observe_no_leader() {
     seen_rev_ = KeyRev();
-    seen_leader_ = NodeName();
+    observed_leader_ = NodeName();
     renew_term_ = false;
     if (leader_) step_down("the leader key is gone");
-    next_campaign_ = port_.now() + port_.jitter(Millis(60));
+    next_campaign_ = context_.now() + context_.jitter(Millis(60));
 }
 
 void Election::campaign() {
     campaigning_ = true;
-    const KeyRev over = renew_term_ ? lead_rev_ : KeyRev();
+    const KeyRev over = renew_term_ ? leader_key_revision_ : KeyRev();
     if (lease_) {
         read_term(over);
         return;
     }
-    store_.create_lease(config_.tuning.leader_lease, [this, over](std::optional<LeaseId> lease) {
-        if (!lease) {
-            campaigning_ = false;
-            next_campaign_ = port_.now() + kRetry + port_.jitter(kRetry);
-            return;
-        }
-        lease_ = lease;
-        next_renewal_ = port_.now() + config_.tuning.leader_lease / 3;
-        read_term(over);
-    });
+    kv_client_.create_lease(
+        config_.tuning.leader_lease, [this, over](std::optional<LeaseId> lease) {
+            if (!lease) {
+                campaigning_ = false;
+                next_campaign_ = context_.now() + kRetry + context_.jitter(kRetry);
+                return;
+            }
+            lease_ = lease;
+            next_renewal_ = context_.now() + config_.tuning.leader_lease / 3;
+            read_term(over);
+        });
 }
 
 void Election::read_term(KeyRev over) {
-    store_.get(kTermKey, kTimeout, [this, over](const kv::GetResult& result) {
+    kv_client_.get(kTermKey, kTimeout, [this, over](const kv::GetResult& result) {
         if (!result.answered) {
             campaigning_ = false;
-            next_campaign_ = port_.now() + kRetry + port_.jitter(kRetry);
+            next_campaign_ = context_.now() + kRetry + context_.jitter(kRetry);
             return;
         }
         TermRow last;
@@ -170,26 +172,26 @@
 
 void Election::propose(TermRow last, KeyRev over) {
     const Term term(last.term.get() + 1);
-    const std::vector<wire::Precondition> preconditions{{kLeadKey, over}, {kTermKey, last.rev}};
+    const std::vector<wire::Precondition> preconditions{{kLeaderKey, over}, {kTermKey, last.rev}};
     const std::vector<wire::Write> writes{
-        {kLeadKey, lead_value(term), lease_},
+        {kLeaderKey, leader_value(term), lease_},
         {kTermKey, wire::Writer().count(term.get()).take(), std::nullopt}};
-    store_.transact(
+    kv_client_.transact(
         preconditions, writes, kTimeout, [this, term](const kv::TransactionResult& result) {
             campaigning_ = false;
-            next_campaign_ = port_.now() + kRetry + port_.jitter(kRetry);
+            next_campaign_ = context_.now() + kRetry + context_.jitter(kRetry);
             if (result.outcome == Outcome::ok) {
-                if (!leader_ || lead_rev_ != result.rev) take_office(term, result.rev);
+                if (!leader_ || leader_key_revision_ != result.rev) begin_term(term, result.rev);
                 return;
             }
-            if (result.outcome == Outcome::no_lease) {
+            if (result.outcome == Outcome::lease_expired) {
                 lease_.reset();
-                next_campaign_ = port_.now();
+                next_campaign_ = context_.now();
             }
             // Lost, or not known: what the key says now decides.
             if (result.outcome == Outcome::conflict || result.outcome == Outcome::unknown) {
                 observed_ = false;
-                next_read_ = port_.now();
+                next_read_ = context_.now();
             }
         });
 }
@@ -198,21 +200,21 @@
     if (!lease_) return;
     renewing_ = true;
     const auto lease = *lease_;
-    store_.renew_lease(lease, [this, lease](kv::LeaseRenewal renewal) {
+    kv_client_.renew_lease(lease, [this, lease](kv::LeaseRenewal renewal) {
         renewing_ = false;
         const bool again_soon = renewal != kv::LeaseRenewal::renewed;
-        next_renewal_ = port_.now() + config_.tuning.leader_lease / (again_soon ? 10 : 3);
+        next_renewal_ = context_.now() + config_.tuning.leader_lease / (again_soon ? 10 : 3);
         if (renewal != kv::LeaseRenewal::ended) return;
         if (lease_ == lease) lease_.reset();
         if (leader_) step_down("the lease has ended");
         observed_ = false;
-        next_read_ = port_.now();
+        next_read_ = context_.now();
     });
 }
 
 void Election::step_down(const char* why) {
-    port_.log(LogLevel::info, "event=stepped_down node={} term={} why=\"{}\"", config_.name.get(),
-              term_.get(), why);
+    context_.log(LogLevel::info, "event=stepped_down node={} term={} why=\"{}\"",
+                 config_.name.get(), term_.get(), why);
     leader_ = false;
     renew_term_ = false;
 }
@@ -221,34 +223,34 @@
     if (!leader_ || newer <= term_) return;
     step_down("a peer knows a later term");
     observed_ = false;
-    next_read_ = port_.now();
+    next_read_ = context_.now();
 }
 
-void Election::step_back(const char* why) {
+void Election::suspend_leadership(const char* why) {
     if (!leader_) return;
     step_down(why);
     observed_ = false;
-    next_read_ = port_.now();
+    next_read_ = context_.now();
 }
 
 void Election::resign(Millis aside) {
     if (!leader_) return;
     const auto key = precondition();
     step_down("it resigns");
-    aside_until_ = port_.now() + aside;
+    no_campaign_until_ = context_.now() + aside;
     // Only speeds things up: without it the key goes when its lease ends.
-    store_.transact({key}, {{kLeadKey, std::nullopt, std::nullopt}}, Millis(1500),
-                    [this](const kv::TransactionResult&) {
-                        observed_ = false;
-                        next_read_ = port_.now();
-                    });
+    kv_client_.transact({key}, {{kLeaderKey, std::nullopt, std::nullopt}}, Millis(1500),
+                        [this](const kv::TransactionResult&) {
+                            observed_ = false;
+                            next_read_ = context_.now();
+                        });
 }
 
 void Election::renew_term() {
     if (!leader_) return;
     step_down("a transaction's outcome is not known");
     renew_term_ = true;
-    next_campaign_ = port_.now();
+    next_campaign_ = context_.now();
 }
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -15,12 +15,12 @@
 
 namespace dunebridge::coordination {
 
-inline constexpr const char* kLeadKey = "lead";
+inline constexpr const char* kLeaderKey = "lead";
 inline constexpr const char* kTermKey = "term";
 
 class Election {
   public:
-    Election(sansio::Port& port, kv::Store& store, const config::Config& config);
+    Election(sansio::Context& port, kv::KvClient& store, const config::Config& config);
 
     void tick();
 
@@ -28,9 +28,9 @@
     Term term() const { return term_; }
     // Grows each time this node takes office, also when it follows itself.
     std::uint64_t generation() const { return generation_; }
-    wire::Precondition precondition() const { return {kLeadKey, lead_rev_}; }
+    wire::Precondition precondition() const { return {kLeaderKey, leader_key_revision_}; }
     // The leader as last seen in the state service, empty if none.
-    const NodeName& seen_leader() const { return seen_leader_; }
+    const NodeName& observed_leader() const { return observed_leader_; }
 
     // Another node is known to lead with a later term.
     void depose(Term newer);
@@ -40,7 +40,7 @@
     // Gives the leadership up and does not stand for a while, so that another node can lead.
     void resign(Millis aside);
     // Stops acting as the leader until the state service shows who leads.
-    void step_back(const char* why);
+    void suspend_leadership(const char* why);
     // Whether this node may stand; a node that the state service serves badly should not.
     void set_eligible(bool eligible) { eligible_ = eligible; }
 
@@ -52,18 +52,18 @@
 
     void observe();
     void watch();
-    void saw_lead(wire::Value value, KeyRev rev);
-    void saw_no_lead();
+    void observe_leader_key(wire::Value value, KeyRev rev);
+    void observe_no_leader();
     void campaign();
     void read_term(KeyRev over);
     void propose(TermRow last, KeyRev over);
     void renew_lease();
-    void take_office(Term term, KeyRev rev);
+    void begin_term(Term term, KeyRev rev);
     void step_down(const char* why);
-    std::string lead_value(Term term) const;
+    std::string leader_value(Term term) const;
 
-    sansio::Port& port_;
-    kv::Store& store_;
+    sansio::Context& context_;
+    kv::KvClient& kv_client_;
     const config::Config& config_;
     std::string incarnation_;
 
@@ -71,8 +71,8 @@
     bool eligible_ = true;
     std::uint64_t generation_ = 0;
     Term term_;
-    KeyRev lead_rev_;
-    NodeName seen_leader_;
+    KeyRev leader_key_revision_;
+    NodeName observed_leader_;
     Term seen_term_;
     KeyRev seen_rev_;
     bool observed_ = false;  // the lead key's state is known and watched
@@ -87,7 +87,7 @@
     Instant next_read_{};
     Instant next_campaign_{};
     Instant next_renewal_{};
-    Instant aside_until_{};
+    Instant no_campaign_until_{};
 };
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -10,24 +10,25 @@
 constexpr Millis kRecently{2500};
 constexpr Millis kTimeout{1500};
 // A user waits for this one.
-constexpr Millis kAnnounceTimeout{400};
+constexpr Millis kBroadcastTimeout{400};
 }  // namespace
 
-Peers::Peers(sansio::Port& port, const config::Config& config, std::function<Heartbeat()> own,
-             std::function<void(const JobId&)> cancelled)
-    : port_(port), config_(config), own_(std::move(own)), cancelled_(std::move(cancelled)) {
+PeerMonitor::PeerMonitor(sansio::Context& port, const config::Config& config,
+                         std::function<Heartbeat()> own,
+                         std::function<void(const JobId&)> cancelled)
+    : context_(port), config_(config), own_(std::move(own)), cancelled_(std::move(cancelled)) {
     for (const auto& node : config_.known) peers_[node.name];
 }
 
-bool Peers::recently_heard(const Peer& peer) const {
-    return peer.known && port_.now() - peer.heard < kRecently;
+bool PeerMonitor::recently_heard(const Peer& peer) const {
+    return peer.known && context_.now() - peer.heard < kRecently;
 }
 
-std::string Peers::own_heartbeat() { return encode(own_()); }
+std::string PeerMonitor::own_heartbeat() { return encode(own_()); }
 
-void Peers::tick() {
-    if (port_.now() >= next_) {
-        next_ = port_.now() + kEvery;
+void PeerMonitor::tick() {
+    if (context_.now() >= next_) {
+        next_ = context_.now() + kEvery;
         const auto heartbeat = own_heartbeat();
         for (const auto& node : config_.known) {
             auto& peer = peers_[node.name];
@@ -36,56 +37,58 @@
             send(node, heartbeat, kTimeout, [&peer] { peer.in_flight = false; });
         }
     }
-    port_.wake_at(next_);
+    context_.request_wake(next_);
 }
 
-void Peers::send_heartbeat(const NodeName& peer, std::function<void()> then) {
+void PeerMonitor::send_heartbeat(const NodeName& peer, std::function<void()> then) {
     for (const auto& node : config_.known) {
         if (node.name != peer) continue;
-        send(node, own_heartbeat(), kAnnounceTimeout, std::move(then));
+        send(node, own_heartbeat(), kBroadcastTimeout, std::move(then));
         return;
     }
     then();
 }
 
-void Peers::send(const config::KnownNode& node, const std::string& heartbeat, Millis timeout,
-                 std::function<void()> then) {
-    port_.call(sansio::Service::peer, node.back, "POST", "/hello", heartbeat, timeout,
-               [this, name = node.name, asked = port_.now(),
-                then = std::move(then)](const sansio::HttpReply& reply) {
-                   if (reply.status == 200) answered(name, reply, asked);
-                   then();
-               });
+void PeerMonitor::send(const config::PeerAddress& node, const std::string& heartbeat,
+                       Millis timeout, std::function<void()> then) {
+    context_.call(sansio::Destination::peer, node.back, "POST", "/hello", heartbeat, timeout,
+                  [this, name = node.name, asked = context_.now(),
+                   then = std::move(then)](const sansio::HttpResult& reply) {
+                      if (reply.status == 200) answered(name, reply, asked);
+                      then();
+                  });
 }
 
-void Peers::answered(const NodeName& name, const sansio::HttpReply& reply, Instant asked) {
+void PeerMonitor::answered(const NodeName& name, const sansio::HttpResult& reply, Instant asked) {
     try {
         const auto doc = wire::Document::need(reply.body);
         const auto heartbeat = decode_heartbeat(doc.root());
-        if (heartbeat.node == name) follow_log(peers_[name], heartbeat.cancellations, asked);
-        heard(heartbeat);
+        if (heartbeat.node == name)
+            track_cancellation_log(peers_[name], heartbeat.cancellations, asked);
+        record_heartbeat(heartbeat);
     } catch (const wire::DecodeError& e) {
-        port_.log(sansio::LogLevel::error, "event=bad_heartbeat from={} error=\"{}\"", name.get(),
-                  e.what());
+        context_.log(sansio::LogLevel::error, "event=bad_heartbeat from={} error=\"{}\"",
+                     name.get(), e.what());
     }
 }
 
 // Only an answer shows how new it is: it was given after it was asked for. A restarted peer, or one
 // whose log has a gap, may have shown users ends that are in no log any more; the state service
 // has them.
-void Peers::follow_log(Peer& peer, const CancellationLogPart& log, Instant asked) {
+void PeerMonitor::track_cancellation_log(Peer& peer, const CancellationLogPart& log,
+                                         Instant asked) {
     if (log.incarnation == 0) return;
     if (peer.incarnation != log.incarnation || log.first > peer.next) {
         peer.incarnation = log.incarnation;
-        peer.complete_since = port_.now();
+        peer.complete_since = context_.now();
         peer.next = 0;
     }
     peer.next = std::max(peer.next, log.next());
     peer.acknowledged_at = std::max(peer.acknowledged_at, asked);
 }
 
-Instant Peers::acknowledged_until(Instant read) const {
-    auto until = port_.now();
+Instant PeerMonitor::acknowledged_until(Instant read) const {
+    auto until = context_.now();
     for (const auto& [name, peer] : peers_) {
         if (peer.incarnation == 0 || peer.complete_since > read) return Instant{};
         until = std::min(until, peer.acknowledged_at);
@@ -93,7 +96,7 @@
     return until;
 }
 
-void Peers::heard(const Heartbeat& heartbeat) {
+void PeerMonitor::record_heartbeat(const Heartbeat& heartbeat) {
     const auto it = peers_.find(heartbeat.node);
     if (it == peers_.end()) return;
     // Committed ends are true however old the heartbeat is.
@@ -104,7 +107,7 @@
     peer.heartbeat = heartbeat;
     peer.heartbeat.cancellations.jobs.clear();
     peer.known = true;
-    peer.heard = last_heard_ = port_.now();
+    peer.heard = last_heard_ = context_.now();
     highest_term_ = std::max(highest_term_, heartbeat.term);
     if (!heartbeat.leads || heartbeat.term < highest_term_) return;
     progress_.clear();
@@ -113,7 +116,7 @@
     faulty_jobs_ = std::exchange(peer.heartbeat.faulty_jobs, {});
 }
 
-NodeName Peers::leader() const {
+NodeName PeerMonitor::leader() const {
     for (const auto& [name, peer] : peers_) {
         if (recently_heard(peer) && peer.heartbeat.leads && peer.heartbeat.term == highest_term_)
             return name;
@@ -121,13 +124,13 @@
     return NodeName();
 }
 
-bool Peers::all_know(std::uint64_t format) const {
+bool PeerMonitor::all_know(std::uint64_t format) const {
     return std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
         return recently_heard(p.second) && p.second.heartbeat.format >= format;
     });
 }
 
-bool Peers::state_reachable_elsewhere() const {
+bool PeerMonitor::state_reachable_elsewhere() const {
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
         return recently_heard(entry.second) && entry.second.heartbeat.state_reachable;
     });
--- a/src/coordination/peer_monitor.hpp
+++ b/src/coordination/peer_monitor.hpp
@@ -17,16 +17,16 @@
 
 namespace dunebridge::coordination {
 
-class Peers {
+class PeerMonitor {
   public:
-    Peers(sansio::Port& port, const config::Config& config, std::function<Heartbeat()> own,
-          std::function<void(const JobId&)> cancelled);
+    PeerMonitor(sansio::Context& port, const config::Config& config, std::function<Heartbeat()> own,
+                std::function<void(const JobId&)> cancelled);
 
     void tick();
     // Sends to all peers at the next tick, as something changed that they should know.
     void send_soon() { next_ = Instant{}; }
     // Takes a peer's heartbeat. It may have been under way for long.
-    void heard(const Heartbeat& heartbeat);
+    void record_heartbeat(const Heartbeat& heartbeat);
     // Sends to one peer now, and goes on when it has answered or has not in time.
     void send_heartbeat(const NodeName& peer, std::function<void()> then);
     // Up to when this node knows of every cancellation that a peer has shown its users, for one
@@ -62,12 +62,12 @@
     };
     bool recently_heard(const Peer& peer) const;
     std::string own_heartbeat();
-    void send(const config::KnownNode& node, const std::string& heartbeat, Millis timeout,
+    void send(const config::PeerAddress& node, const std::string& heartbeat, Millis timeout,
               std::function<void()> then);
-    void answered(const NodeName& name, const sansio::HttpReply& reply, Instant asked);
-    void follow_log(Peer& peer, const CancellationLogPart& log, Instant asked);
+    void answered(const NodeName& name, const sansio::HttpResult& reply, Instant asked);
+    void track_cancellation_log(Peer& peer, const CancellationLogPart& log, Instant asked);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     const config::Config& config_;
     std::function<Heartbeat()> own_;
     std::function<void(const JobId&)> cancelled_;
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -4,8 +4,8 @@
 
 namespace dunebridge::kv {
 
-using sansio::HttpReply;
-using sansio::Service;
+using sansio::Destination;
+using sansio::HttpResult;
 using wire::Document;
 
 namespace {
@@ -28,15 +28,16 @@
             KeyRev(row["key_rev"].count().value_or(0))};
 }
 
-Outcome outcome_of(const HttpReply& reply, wire::Value body) {
+Outcome outcome_of(const HttpResult& reply, wire::Value body) {
     switch (reply.status) {
         case 200:
             return Outcome::ok;
         case 409:
             return Outcome::conflict;
         case 400:
-            return body["error"].text() == "no such lease" ? Outcome::no_lease : Outcome::malformed;
-        case HttpReply::kNoAnswer:
+            return body["error"].text() == "no such lease" ? Outcome::lease_expired
+                                                           : Outcome::malformed;
+        case HttpResult::kNoResponse:
         case 500:
         case 504:
             return Outcome::unknown;
@@ -45,7 +46,7 @@
     }
 }
 
-TransactionResult read_transaction(const HttpReply& reply) {
+TransactionResult read_transaction(const HttpResult& reply) {
     const auto doc = Document::parse(reply.body);
     const auto body = doc ? doc->root() : wire::Value();
     TransactionResult result;
@@ -58,7 +59,7 @@
     return result;
 }
 
-GetResult read_row(const std::string& key, const HttpReply& reply) {
+GetResult read_row(const std::string& key, const HttpResult& reply) {
     if (reply.status == 404) return {true, std::nullopt};
     auto doc = reply.status == 200 ? Document::parse(reply.body) : std::nullopt;
     if (!doc) return {};
@@ -76,7 +77,7 @@
             KeyRev(change["key_rev"].count().value_or(0))};
 }
 
-WatchResult read_changes(const HttpReply& reply) {
+WatchResult read_changes(const HttpResult& reply) {
     WatchResult result;
     if (reply.status == 410) result.kind = WatchResult::Kind::too_old;
     auto doc = reply.status == 200 ? Document::parse(reply.body) : std::nullopt;
@@ -94,60 +95,64 @@
     return result;
 }
 
-LeaseRenewal read_renewal(const HttpReply& reply) {
+LeaseRenewal read_renewal(const HttpResult& reply) {
     if (reply.status == 200) return LeaseRenewal::renewed;
     return reply.status == 404 ? LeaseRenewal::ended : LeaseRenewal::unknown;
 }
 }  // namespace
 
-Store::Store(sansio::Port& port, const config::Config& config) : port_(port), config_(config) {}
+KvClient::KvClient(sansio::Context& port, const config::Config& config)
+    : context_(port), config_(config) {}
 
-Millis Store::silent_for() const { return reachable_ ? Millis(0) : port_.now() - last_good_; }
+Millis KvClient::time_since_response() const {
+    return reachable_ ? Millis(0) : context_.now() - last_good_;
+}
 
-void Store::call(std::string method, std::string target, std::string body, Millis timeout,
-                 sansio::Port::Continuation then) {
+void KvClient::call(std::string method, std::string target, std::string body, Millis timeout,
+                    sansio::Context::Continuation then) {
     const std::string what = target;
-    port_.call(Service::state, {}, std::move(method), std::move(target), std::move(body), timeout,
-               [this, what, then = std::move(then)](const HttpReply& reply) {
-                   const bool good = reply.answered() && reply.status != 503;
-                   if (good || reachable_) last_good_ = port_.now();
-                   last_answer_ = port_.now();
-                   reachable_ = good;
-                   if (!good) {
-                       port_.log(sansio::LogLevel::debug, "event=state_failed status={} target={}",
-                                 reply.status, what);
-                   }
-                   then(reply);
-               });
+    context_.call(Destination::state, {}, std::move(method), std::move(target), std::move(body),
+                  timeout, [this, what, then = std::move(then)](const HttpResult& reply) {
+                      const bool good = reply.answered() && reply.status != 503;
+                      if (good || reachable_) last_good_ = context_.now();
+                      last_answer_ = context_.now();
+                      reachable_ = good;
+                      if (!good) {
+                          context_.log(sansio::LogLevel::debug,
+                                       "event=state_failed status={} target={}", reply.status,
+                                       what);
+                      }
+                      then(reply);
+                  });
 }
 
-void Store::tick() {
+void KvClient::tick() {
     // A node that seldom calls would learn from its users' waiting that it is cut off.
     const auto due = last_answer_ + kProbeAfter;
-    if (probing_ || port_.now() < due) {
-        if (!probing_) port_.wake_at(due);
+    if (probing_ || context_.now() < due) {
+        if (!probing_) context_.request_wake(due);
         return;
     }
     probing_ = true;
     get("term", kProbeTimeout, [this](const GetResult&) { probing_ = false; });
 }
 
-void Store::transact(const std::vector<wire::Precondition>& preconditions,
-                     const std::vector<wire::Write>& writes, Millis timeout,
-                     std::function<void(const TransactionResult&)> then) {
+void KvClient::transact(const std::vector<wire::Precondition>& preconditions,
+                        const std::vector<wire::Write>& writes, Millis timeout,
+                        std::function<void(const TransactionResult&)> then) {
     call("POST", "/multi", wire::encode_transaction(preconditions, writes), timeout,
-         [then = std::move(then)](const HttpReply& reply) { then(read_transaction(reply)); });
+         [then = std::move(then)](const HttpResult& reply) { then(read_transaction(reply)); });
 }
 
-void Store::get(const std::string& key, Millis timeout,
-                std::function<void(const GetResult&)> then) {
+void KvClient::get(const std::string& key, Millis timeout,
+                   std::function<void(const GetResult&)> then) {
     call("GET", "/kv/" + key, {}, timeout,
-         [then = std::move(then), key](const HttpReply& reply) { then(read_row(key, reply)); });
+         [then = std::move(then), key](const HttpResult& reply) { then(read_row(key, reply)); });
 }
 
 // ---- many keys ----
 
-struct Store::ManyRead {
+struct KvClient::ManyRead {
     std::string prefix;
     std::vector<std::string> names;  // sorted
     std::size_t next = 0;            // the first that is not decided yet
@@ -159,15 +164,15 @@
     std::string key(std::size_t i) const { return prefix + names[i]; }
 };
 
-void Store::get_many(const std::string& prefix, std::vector<std::string> names, Millis timeout,
-                     std::function<void(const RowsResult&)> then) {
+void KvClient::get_each(const std::string& prefix, std::vector<std::string> names, Millis timeout,
+                        std::function<void(const RowsResult&)> then) {
     const auto read = std::make_shared<ManyRead>();
     std::sort(names.begin(), names.end());
     *read = {prefix, std::move(names), 0, timeout, {}, std::move(then)};
     read_many(read);
 }
 
-void Store::read_many(const std::shared_ptr<ManyRead>& read) {
+void KvClient::read_many(const std::shared_ptr<ManyRead>& read) {
     if (read->left() == 0) {
         read->result.answered = true;
         read->then(read->result);
@@ -185,10 +190,10 @@
     const auto target =
         "/kv?starts=" + read->prefix + "&page=" + std::to_string(page) + "&from=" + before;
     call("GET", target, {}, read->timeout,
-         [this, read](const HttpReply& reply) { take_page(read, reply); });
+         [this, read](const HttpResult& reply) { take_page(read, reply); });
 }
 
-void Store::read_one(const std::shared_ptr<ManyRead>& read) {
+void KvClient::read_one(const std::shared_ptr<ManyRead>& read) {
     get(read->key(read->next), read->timeout, [this, read](const GetResult& result) {
         if (!result.answered) {
             read->then(RowsResult{});
@@ -200,7 +205,7 @@
     });
 }
 
-void Store::take_page(const std::shared_ptr<ManyRead>& read, const HttpReply& reply) {
+void KvClient::take_page(const std::shared_ptr<ManyRead>& read, const HttpResult& reply) {
     auto page = reply.status == 200 ? Document::parse(reply.body) : std::nullopt;
     if (!page || !page->root()["rows"].is_list()) {
         read->then(RowsResult{});
@@ -223,22 +228,22 @@
 
 // ---- whole prefixes ----
 
-void Store::list(const std::string& prefix, std::function<void(const ListResult&)> then) {
+void KvClient::list(const std::string& prefix, std::function<void(const ListResult&)> then) {
     list_page(prefix, {}, std::make_shared<ListResult>(), std::move(then));
 }
 
-void Store::list_page(const std::string& prefix, const std::string& from,
-                      const std::shared_ptr<ListResult>& so_far,
-                      std::function<void(const ListResult&)> then) {
+void KvClient::list_page(const std::string& prefix, const std::string& from,
+                         const std::shared_ptr<ListResult>& so_far,
+                         std::function<void(const ListResult&)> then) {
     std::string target = "/kv?starts=" + prefix + "&page=500";
     if (!from.empty()) target += "&from=" + from;
     call("GET", target, {}, kListTimeout,
          [this, prefix, from, so_far, first = from.empty(),
-          then = std::move(then)](const HttpReply& reply) {
+          then = std::move(then)](const HttpResult& reply) {
              // Over its rate: the pages read so far are as good as before.
              if (reply.status == kTooManyRequests && ++so_far->refusals <= kMaxPageRefusals) {
-                 port_.after(
-                     kPageRetry + port_.jitter(kPageRetry),
+                 context_.after(
+                     kPageRetry + context_.jitter(kPageRetry),
                      [this, prefix, from, so_far, then] { list_page(prefix, from, so_far, then); });
                  return;
              }
@@ -263,19 +268,19 @@
          });
 }
 
-void Store::watch(const std::string& prefix, KeyRev from, Millis wait,
-                  std::function<void(const WatchResult&)> then) {
+void KvClient::watch(const std::string& prefix, KeyRev from, Millis wait,
+                     std::function<void(const WatchResult&)> then) {
     const auto target = "/watch?starts=" + prefix + "&from=" + std::to_string(from.get()) +
                         "&wait_ms=" + std::to_string(wait.count());
     // Open watches stay open during an outage, so a late answer says nothing about reachability.
-    port_.call(Service::state, {}, "GET", target, {}, wait + kWatchSlack,
-               [then = std::move(then)](const HttpReply& reply) { then(read_changes(reply)); });
+    context_.call(Destination::state, {}, "GET", target, {}, wait + kWatchSlack,
+                  [then = std::move(then)](const HttpResult& reply) { then(read_changes(reply)); });
 }
 
-void Store::create_lease(Millis ttl, std::function<void(std::optional<LeaseId>)> then) {
+void KvClient::create_lease(Millis ttl, std::function<void(std::optional<LeaseId>)> then) {
     call("POST", "/leases",
          wire::Writer().map(1).text("ttl_ms").count(static_cast<std::uint64_t>(ttl.count())).take(),
-         kLeaseTimeout, [then = std::move(then)](const HttpReply& reply) {
+         kLeaseTimeout, [then = std::move(then)](const HttpResult& reply) {
              std::optional<LeaseId> lease;
              if (reply.status == 200) {
                  const auto doc = Document::parse(reply.body);
@@ -287,9 +292,9 @@
          });
 }
 
-void Store::renew_lease(LeaseId lease, std::function<void(LeaseRenewal)> then) {
+void KvClient::renew_lease(LeaseId lease, std::function<void(LeaseRenewal)> then) {
     call("POST", "/leases/" + std::to_string(lease.get()) + "/touch", {}, kRenewalTimeout,
-         [then = std::move(then)](const HttpReply& reply) { then(read_renewal(reply)); });
+         [then = std::move(then)](const HttpResult& reply) { then(read_renewal(reply)); });
 }
 
 }  // namespace dunebridge::kv
--- a/src/kv/client.hpp
+++ b/src/kv/client.hpp
@@ -20,8 +20,8 @@
     conflict,   // a precondition did not hold; nothing was written
     refused,    // certainly not executed
     malformed,  // certainly not executed, nor ever will be: larger than the service takes, or wrong
-    no_lease,   // certainly not executed: the lease of a put has ended
-    unknown     // may have been executed, or may yet be
+    lease_expired,  // certainly not executed: the lease of a put has ended
+    unknown         // may have been executed, or may yet be
 };
 
 struct TransactionResult {
@@ -74,9 +74,9 @@
     unknown  // it may have been renewed
 };
 
-class Store {
+class KvClient {
   public:
-    Store(sansio::Port& port, const config::Config& config);
+    KvClient(sansio::Context& port, const config::Config& config);
 
     void transact(const std::vector<wire::Precondition>& preconditions,
                   const std::vector<wire::Write>& writes, Millis timeout,
@@ -84,7 +84,7 @@
     void get(const std::string& key, Millis timeout, std::function<void(const GetResult&)> then);
     // Reads the keys that are the prefix and one of the names, with few requests: what lies between
     // two of them is read along where that takes fewer pages. Names end in a digit.
-    void get_many(const std::string& prefix, std::vector<std::string> names, Millis timeout,
+    void get_each(const std::string& prefix, std::vector<std::string> names, Millis timeout,
                   std::function<void(const RowsResult&)> then);
     // Reads a whole prefix, page after page.
     void list(const std::string& prefix, std::function<void(const ListResult&)> then);
@@ -98,22 +98,22 @@
     // Whether the last answers were good ones.
     bool reachable() const { return reachable_; }
     // How long calls have gone without a good answer.
-    Millis silent_for() const;
+    Millis time_since_response() const;
 
     std::size_t max_preconditions() const { return config_.state.max_preconditions(); }
 
   private:
     void call(std::string method, std::string target, std::string body, Millis timeout,
-              sansio::Port::Continuation then);
+              sansio::Context::Continuation then);
     struct ManyRead;
     void read_many(const std::shared_ptr<ManyRead>& read);
     void read_one(const std::shared_ptr<ManyRead>& read);
-    void take_page(const std::shared_ptr<ManyRead>& read, const sansio::HttpReply& reply);
+    void take_page(const std::shared_ptr<ManyRead>& read, const sansio::HttpResult& reply);
     void list_page(const std::string& prefix, const std::string& from,
                    const std::shared_ptr<ListResult>& so_far,
                    std::function<void(const ListResult&)> then);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     const config::Config& config_;
     bool reachable_ = true;
     Instant last_good_{};
--- a/src/kv/records.cpp
+++ b/src/kv/records.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-PackedRecord encode(const EndRecord& end) {
+PackedRecord encode(const TerminalRecord& end) {
     Writer writer;
     writer.map(end.tasks ? 3 : 2).text("phase").text(wire::name_of(end.phase));
     if (end.tasks) writer.text("shards").count(*end.tasks);
@@ -51,8 +51,8 @@
     return packed(writer);
 }
 
-EndRecord decode_end(wire::Value value) {
-    EndRecord end;
+TerminalRecord decode_terminal_record(wire::Value value) {
+    TerminalRecord end;
     const bool done = value["phase"].text() == wire::name_of(wire::JobPhase::done);
     end.phase = done ? wire::JobPhase::done : wire::JobPhase::cancelled;
     end.tasks = value["shards"].count();
--- a/src/kv/records.hpp
+++ b/src/kv/records.hpp
@@ -20,18 +20,18 @@
 };
 
 // end/<id>: created once and never changed.
-struct EndRecord {
+struct TerminalRecord {
     wire::JobPhase phase = wire::JobPhase::cancelled;  // `done` or `cancelled`
     // The number of tasks; a cancellation by a node that does not lead does not know it.
     std::optional<std::uint64_t> tasks;
     std::int64_t at_ms = 0;  // time of day
 
     bool done() const { return phase == wire::JobPhase::done; }
-    bool operator==(const EndRecord&) const = default;
+    bool operator==(const TerminalRecord&) const = default;
 };
-PackedRecord encode(const EndRecord& end);
+PackedRecord encode(const TerminalRecord& end);
 // Whatever is not `done` counts as cancelled.
-EndRecord decode_end(wire::Value value);
+TerminalRecord decode_terminal_record(wire::Value value);
 
 // job/<id>: an open job.
 struct JobRecord {
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -110,30 +110,31 @@
     });
 }
 
-asio::awaitable<sansio::HttpReply> HttpClient::call(std::string address, std::string method,
-                                                    std::string target, std::string body,
-                                                    Millis timeout) {
+asio::awaitable<sansio::HttpResult> HttpClient::call(std::string address, std::string method,
+                                                     std::string target, std::string body,
+                                                     Millis timeout) {
     auto connection = take_idle(address);
     if (!connection) connection = new_connection();
-    if (!connection) co_return sansio::HttpReply{sansio::HttpReply::kUnsent, {}};
+    if (!connection) co_return sansio::HttpResult{sansio::HttpResult::kNotSent, {}};
     connection->sent = false;
     set_deadline(connection, timeout);
-    sansio::HttpReply reply;
+    sansio::HttpResult reply;
     try {
         reply = co_await exchange(connection, address, std::move(method), std::move(target),
                                   std::move(body));
     } catch (const std::exception&) {
         connection->close();
-        reply = {connection->sent ? sansio::HttpReply::kNoAnswer : sansio::HttpReply::kUnsent, {}};
+        reply = {connection->sent ? sansio::HttpResult::kNoResponse : sansio::HttpResult::kNotSent,
+                 {}};
     }
     connection->deadline.expires_at(std::chrono::steady_clock::time_point::max());
     if (connection->socket.is_open()) keep(std::move(address), std::move(connection));
     co_return reply;
 }
 
-asio::awaitable<sansio::HttpReply> HttpClient::exchange(ConnectionPtr connection,
-                                                        std::string address, std::string method,
-                                                        std::string target, std::string body) {
+asio::awaitable<sansio::HttpResult> HttpClient::exchange(ConnectionPtr connection,
+                                                         std::string address, std::string method,
+                                                         std::string target, std::string body) {
     auto& socket = connection->socket;
     if (!socket.is_open()) {
         co_await socket.async_connect(parse_endpoint(address), asio::use_awaitable);
@@ -155,8 +156,8 @@
     co_await http::async_read(socket, connection->buffer, parser, asio::use_awaitable);
     auto& response = parser.get();
     if (!response.keep_alive()) connection->close();
-    co_return sansio::HttpReply{static_cast<int>(response.result_int()),
-                                std::move(response.body())};
+    co_return sansio::HttpResult{static_cast<int>(response.result_int()),
+                                 std::move(response.body())};
 }
 
 void HttpClient::set_max(std::size_t max_connections) {
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -25,9 +25,9 @@
         : io_(io), max_connections_(max_connections), idle_limit_(idle_limit) {}
 
     // With all places in use the call is not sent, and says so at once.
-    boost::asio::awaitable<sansio::HttpReply> call(std::string address, std::string method,
-                                                   std::string target, std::string body,
-                                                   Millis timeout);
+    boost::asio::awaitable<sansio::HttpResult> call(std::string address, std::string method,
+                                                    std::string target, std::string body,
+                                                    Millis timeout);
     void sweep();
     // Another bound from now on; idle connections beyond it are closed.
     void set_max(std::size_t max_connections);
@@ -43,9 +43,9 @@
     void keep(std::string address, ConnectionPtr connection);
     void drop_oldest();
     static void set_deadline(const ConnectionPtr& connection, Millis timeout);
-    boost::asio::awaitable<sansio::HttpReply> exchange(ConnectionPtr connection,
-                                                       std::string address, std::string method,
-                                                       std::string target, std::string body);
+    boost::asio::awaitable<sansio::HttpResult> exchange(ConnectionPtr connection,
+                                                        std::string address, std::string method,
+                                                        std::string target, std::string body);
 
     boost::asio::io_context& io_;
     std::size_t max_connections_;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -32,7 +32,7 @@
     explicit Session(tcp::socket s) : socket(std::move(s)), answered(socket.get_executor()) {}
     tcp::socket socket;
     asio::steady_timer answered;
-    std::optional<sansio::Answer> answer;
+    std::optional<sansio::HttpResponse> answer;
     std::chrono::steady_clock::time_point active = std::chrono::steady_clock::now();
     Group group = Group::fresh;
     bool busy = false;     // has a request to be answered
@@ -203,7 +203,7 @@
     handler_(std::move(in));
 }
 
-HttpServer::Response HttpServer::response_to(sansio::Answer&& answer, bool keep) {
+HttpServer::Response HttpServer::response_to(sansio::HttpResponse&& answer, bool keep) {
     constexpr unsigned version = 11;  // HTTP/1.1
     Response response;
     response.version(version);
@@ -261,7 +261,7 @@
     leave(*session);
 }
 
-void HttpServer::answer(sansio::Answer&& answer) {
+void HttpServer::answer(sansio::HttpResponse&& answer) {
     const auto it = waiting_.find(answer.id);
     if (it == waiting_.end()) return;
     const auto session = std::move(it->second);
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -46,7 +46,7 @@
     void on_growth(std::function<void()> grown) { grown_ = std::move(grown); }
     void start();
     // Hands an answer to the connection that waits for it, if it is still there.
-    void answer(sansio::Answer&& answer);
+    void answer(sansio::HttpResponse&& answer);
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
     std::size_t connections() const { return sessions_.size(); }
 
@@ -64,7 +64,7 @@
     boost::asio::awaitable<void> serve(std::shared_ptr<Session> session);
     void regroup(const std::shared_ptr<Session>& session, std::string_view target);
     void hand_over(const std::shared_ptr<Session>& session, Request&& request, bool too_large);
-    static Response response_to(sansio::Answer&& answer, bool keep);
+    static Response response_to(sansio::HttpResponse&& answer, bool keep);
     boost::asio::awaitable<void> sweep();
     void close_overdue();
     bool make_place();
--- a/src/provisioning/boot_monitor.cpp
+++ b/src/provisioning/boot_monitor.cpp
@@ -50,7 +50,7 @@
     return std::max(mean + kDeviations * deviation, kLeastLimit * nominal_s);
 }
 
-void StartupMonitor::reset() {
+void BootMonitor::reset() {
     for (auto& [place, health] : places_) {
         health.failing = false;
         health.pause = Millis(0);
@@ -58,27 +58,27 @@
     }
 }
 
-double StartupMonitor::nominal_s(const Machine& machine) const {
+double BootMonitor::nominal_s(const Machine& machine) const {
     const auto* type = types_.find(machine.machine_type);
     return type ? type->startup_s : kUnknownStartup_s;
 }
 
-const StartupMonitor::Health* StartupMonitor::find(const Machine& machine) const {
+const BootMonitor::Health* BootMonitor::find(const Machine& machine) const {
     const auto it = places_.find({machine.machine_type, machine.zone});
     return it == places_.end() ? nullptr : &it->second;
 }
 
-void StartupMonitor::update() {
+void BootMonitor::update() {
     for (auto& [place, health] : places_) health.starting = 0;
     std::size_t fleet = 0;
-    for (auto& [host, machine] : ledger_.machines()) {
+    for (auto& [host, machine] : state_.machines()) {
         if (machine.cloud.deleting) continue;
         ++fleet;
-        machine.worker.reported ? came_up(machine) : check_overdue(machine);
+        machine.worker.reported ? record_boot(machine) : check_overdue(machine);
     }
     auto left = std::max(kAlwaysReplaced,
                          static_cast<std::size_t>(kReplacedShare * static_cast<double>(fleet)));
-    for (auto& [host, machine] : ledger_.machines()) {
+    for (auto& [host, machine] : state_.machines()) {
         auto& cloud = machine.cloud;
         cloud.replaced = cloud.overdue && !cloud.deleting && left > 0;
         if (cloud.replaced) --left;
@@ -86,65 +86,65 @@
 }
 
 // Only of machines rented by this leader in this term is it known when they were.
-void StartupMonitor::came_up(Machine& machine) {
+void BootMonitor::record_boot(Machine& machine) {
     auto& cloud = machine.cloud;
     if (!cloud.awaited && !cloud.overdue) return;
     auto& health = places_[{machine.machine_type, machine.zone}];
-    const auto boot_s = to_seconds(port_.now() - cloud.rented_at);
+    const auto boot_s = to_seconds(context_.now() - cloud.provisioned_at);
     if (cloud.awaited) health.estimate.observe(boot_s, nominal_s(machine));
     cloud.awaited = cloud.overdue = false;
-    health.last_delivery = port_.now();
+    health.last_delivery = context_.now();
     if (health.failing) {
-        port_.log(LogLevel::info, "event=place_delivers type={} zone={}", machine.machine_type,
-                  machine.zone);
+        context_.log(LogLevel::info, "event=place_delivers type={} zone={}", machine.machine_type,
+                     machine.zone);
     }
     health.failing = false;
     health.pause = Millis(0);
 }
 
-void StartupMonitor::check_overdue(Machine& machine) {
+void BootMonitor::check_overdue(Machine& machine) {
     auto& cloud = machine.cloud;
     if (!cloud.starting || cloud.overdue) return;
     auto& health = places_[{machine.machine_type, machine.zone}];
     const auto limit = from_seconds(health.estimate.limit_s(nominal_s(machine)));
-    if (port_.now() - cloud.rented_at <= limit) {
+    if (context_.now() - cloud.provisioned_at <= limit) {
         ++health.starting;
         return;
     }
     cloud.overdue = true;
-    became_overdue(machine);
+    record_overdue(machine);
 }
 
 // The many machines of one request are overdue in the same moment: they count as one failure.
-void StartupMonitor::became_overdue(const Machine& machine) {
-    port_.log(LogLevel::info, "event=machine_overdue host={} type={} zone={} after_s={:.0f}",
-              machine.host.get(), machine.machine_type, machine.zone,
-              to_seconds(port_.now() - machine.cloud.rented_at));
+void BootMonitor::record_overdue(const Machine& machine) {
+    context_.log(LogLevel::info, "event=machine_overdue host={} type={} zone={} after_s={:.0f}",
+                 machine.host.get(), machine.machine_type, machine.zone,
+                 to_seconds(context_.now() - machine.cloud.provisioned_at));
     auto& health = places_[{machine.machine_type, machine.zone}];
-    if (health.last_delivery >= machine.cloud.rented_at) return;
+    if (health.last_delivery >= machine.cloud.provisioned_at) return;
     health.failing = true;
-    if (port_.now() < health.avoid_until) return;
+    if (context_.now() < health.avoid_until) return;
     health.pause = std::clamp(health.pause * 2, kLeastPause, kMaxPause);
-    health.avoid_until = port_.now() + health.pause;
+    health.avoid_until = context_.now() + health.pause;
 }
 
-bool StartupMonitor::to_replace(const Machine& machine) const { return machine.cloud.replaced; }
+bool BootMonitor::to_replace(const Machine& machine) const { return machine.cloud.replaced; }
 
-Millis StartupMonitor::give_up_after(const Machine& machine) const {
+Millis BootMonitor::release_after(const Machine& machine) const {
     const double nominal = nominal_s(machine);
     const auto* health = find(machine);
     const auto most = from_seconds(kMostGiveUpBoots * nominal) + kGiveUpMargin;
-    const bool others_came = health && health->last_delivery >= machine.cloud.rented_at;
+    const bool others_came = health && health->last_delivery >= machine.cloud.provisioned_at;
     if (!others_came) return most;
     const auto least = from_seconds(kLeastGiveUpBoots * nominal) + kGiveUpMargin;
     return std::clamp(from_seconds(health->estimate.limit_s(nominal)), least, most);
 }
 
-std::map<Market, std::size_t> StartupMonitor::allowances() const {
-    std::map<Market, std::size_t> out;
+std::map<InstancePool, std::size_t> BootMonitor::allowances() const {
+    std::map<InstancePool, std::size_t> out;
     for (const auto& [place, health] : places_) {
         if (!health.failing) continue;
-        const bool avoided = port_.now() < health.avoid_until;
+        const bool avoided = context_.now() < health.avoid_until;
         const auto allowance = avoided ? 0 : kProbes - std::min(kProbes, health.starting);
         for (const bool spot : {false, true}) {
             out[{place.machine_type, place.zone, spot}] = allowance;
--- a/src/provisioning/boot_monitor.hpp
+++ b/src/provisioning/boot_monitor.hpp
@@ -31,10 +31,10 @@
     double limit_s(double nominal_s) const;
 };
 
-class StartupMonitor {
+class BootMonitor {
   public:
-    StartupMonitor(sansio::Port& port, state::Ledger& ledger, const MachineTypes& types)
-        : port_(port), ledger_(ledger), types_(types) {}
+    BootMonitor(sansio::Context& port, state::ClusterState& ledger, const MachineTypeCatalog& types)
+        : context_(port), state_(ledger), types_(types) {}
 
     // Another term begins: what was observed stays, what is under way is judged anew.
     void reset();
@@ -43,9 +43,9 @@
     // The machine has not come up in time, and another may be rented in its place.
     bool to_replace(const state::Machine& machine) const;
     // After so long a machine that has not come up is returned.
-    Millis give_up_after(const state::Machine& machine) const;
+    Millis release_after(const state::Machine& machine) const;
     // How many machines may be rented now from the markets that have not delivered lately.
-    std::map<Market, std::size_t> allowances() const;
+    std::map<InstancePool, std::size_t> allowances() const;
 
   private:
     struct Place {
@@ -62,15 +62,15 @@
         std::size_t starting = 0;  // and not overdue
     };
 
-    void came_up(state::Machine& machine);
+    void record_boot(state::Machine& machine);
     void check_overdue(state::Machine& machine);
-    void became_overdue(const state::Machine& machine);
+    void record_overdue(const state::Machine& machine);
     double nominal_s(const state::Machine& machine) const;
     const Health* find(const state::Machine& machine) const;
 
-    sansio::Port& port_;
-    state::Ledger& ledger_;
-    const MachineTypes& types_;
+    sansio::Context& context_;
+    state::ClusterState& state_;
+    const MachineTypeCatalog& types_;
     std::map<Place, Health> places_;
 };
 
--- a/src/provisioning/cloud_client.cpp
+++ b/src/provisioning/cloud_client.cpp
@@ -5,9 +5,9 @@
 
 namespace dunebridge::provisioning {
 
-using sansio::HttpReply;
+using sansio::Destination;
+using sansio::HttpResult;
 using sansio::LogLevel;
-using sansio::Service;
 
 namespace {
 constexpr Millis kTimeout{5000};
@@ -18,8 +18,8 @@
 // What the decoder makes of the body of a good reply; none if there is no such reply. Bad bodies
 // are logged under the event's name.
 template <class Decode>
-auto read_reply(sansio::Port& port, const HttpReply& reply, const char* bad_event, Decode decode)
-    -> std::optional<std::invoke_result_t<Decode, wire::Value>> {
+auto read_reply(sansio::Context& port, const HttpResult& reply, const char* bad_event,
+                Decode decode) -> std::optional<std::invoke_result_t<Decode, wire::Value>> {
     if (reply.status != 200) return std::nullopt;
     try {
         const auto doc = wire::Document::need(reply.body);
@@ -31,44 +31,45 @@
 }
 }  // namespace
 
-CloudClient::CloudClient(sansio::Port& port, double requests_per_second)
-    : port_(port), budget_(kShare * requests_per_second) {}
+CloudClient::CloudClient(sansio::Context& port, double requests_per_second)
+    : context_(port), budget_(kShare * requests_per_second) {}
 
 bool CloudClient::take_request() {
-    if (budget_.take(1, port_.now())) return true;
-    port_.wake_at(budget_.ready_at(1, port_.now()));
+    if (budget_.take(1, context_.now())) return true;
+    context_.request_wake(budget_.ready_at(1, context_.now()));
     return false;
 }
 
 void CloudClient::machine_types(
     std::function<void(std::optional<std::vector<wire::MachineType>>)> then) {
-    port_.call(Service::cloud, {}, "GET", "/machine_types", {}, kTimeout,
-               [this, then = std::move(then)](const HttpReply& reply) {
-                   then(read_reply(port_, reply, "bad_machine_types", wire::decode_machine_types));
-               });
+    context_.call(
+        Destination::cloud, {}, "GET", "/machine_types", {}, kTimeout,
+        [this, then = std::move(then)](const HttpResult& reply) {
+            then(read_reply(context_, reply, "bad_machine_types", wire::decode_machine_types));
+        });
 }
 
 void CloudClient::list_machines(const std::string& after,
                                 std::function<void(std::optional<wire::MachineListPage>)> then) {
     auto target = std::string("/rentals?page=500");
     if (!after.empty()) target += "&from=" + after;
-    port_.call(Service::cloud, {}, "GET", std::move(target), {}, kTimeout,
-               [this, then = std::move(then)](const HttpReply& reply) {
-                   then(read_reply(port_, reply, "bad_list", wire::decode_machine_list));
-               });
+    context_.call(Destination::cloud, {}, "GET", std::move(target), {}, kTimeout,
+                  [this, then = std::move(then)](const HttpResult& reply) {
+                      then(read_reply(context_, reply, "bad_list", wire::decode_machine_list));
+                  });
 }
 
-void CloudClient::rent(const wire::RentalRequest& request,
-                       std::function<void(const RentalResult&)> then) {
-    port_.call(
-        Service::cloud, {}, "POST", "/rentals", wire::encode(request), kTimeout,
-        [this, then = std::move(then)](const HttpReply& reply) { then(read_rental(reply)); });
+void CloudClient::rent(const wire::ScaleOutRequest& request,
+                       std::function<void(const ScaleOutResult&)> then) {
+    context_.call(
+        Destination::cloud, {}, "POST", "/rentals", wire::encode(request), kTimeout,
+        [this, then = std::move(then)](const HttpResult& reply) { then(read_rental(reply)); });
 }
 
-RentalResult CloudClient::read_rental(const HttpReply& reply) {
-    using Outcome = RentalResult::Outcome;
+ScaleOutResult CloudClient::read_rental(const HttpResult& reply) {
+    using Outcome = ScaleOutResult::Outcome;
     if (reply.status == 200) {
-        auto hosts = read_reply(port_, reply, "bad_rental", wire::decode_hosts);
+        auto hosts = read_reply(context_, reply, "bad_rental", wire::decode_hosts);
         // Machines that a bad answer does not name are found by their reports and the list.
         return {Outcome::granted, hosts ? std::move(*hosts) : std::vector<HostName>()};
     }
@@ -81,8 +82,9 @@
 
 void CloudClient::delete_machines(const std::vector<HostName>& hosts,
                                   std::function<void(bool)> then) {
-    port_.call(Service::cloud, {}, "POST", "/rentals/delete", wire::encode_hosts(hosts), kTimeout,
-               [then = std::move(then)](const HttpReply& reply) { then(reply.status == 200); });
+    context_.call(Destination::cloud, {}, "POST", "/rentals/delete", wire::encode_hosts(hosts),
+                  kTimeout,
+                  [then = std::move(then)](const HttpResult& reply) { then(reply.status == 200); });
 }
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/cloud_client.hpp
+++ b/src/provisioning/cloud_client.hpp
@@ -14,7 +14,7 @@
 
 namespace dunebridge::provisioning {
 
-struct RentalResult {
+struct ScaleOutResult {
     enum class Outcome : std::uint8_t {
         granted,      // all or some of the machines asked for
         no_capacity,  // none, and the request is settled
@@ -27,7 +27,7 @@
 
 class CloudClient {
   public:
-    CloudClient(sansio::Port& port, double requests_per_second);
+    CloudClient(sansio::Context& port, double requests_per_second);
 
     // Takes a request from the budget. If there is none, the core wakes when there will be.
     bool take_request();
@@ -38,14 +38,15 @@
     // One page of the list of machines, those after the host; none if there is no answer.
     void list_machines(const std::string& after,
                        std::function<void(std::optional<wire::MachineListPage>)> then);
-    void rent(const wire::RentalRequest& request, std::function<void(const RentalResult&)> then);
+    void rent(const wire::ScaleOutRequest& request,
+              std::function<void(const ScaleOutResult&)> then);
     // True if the machines, and all that ran on them, are certainly gone.
     void delete_machines(const std::vector<HostName>& hosts, std::function<void(bool)> then);
 
   private:
-    RentalResult read_rental(const sansio::HttpReply& reply);
+    ScaleOutResult read_rental(const sansio::HttpResult& reply);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     TokenBucket budget_;
 };
 
--- a/src/provisioning/machine_inventory.hpp
+++ b/src/provisioning/machine_inventory.hpp
@@ -15,12 +15,12 @@
 
 namespace dunebridge::provisioning {
 
-class MachineList {
+class MachineInventory {
   public:
     // `failed` is called for machines that the cloud reports as failed, once each.
-    MachineList(sansio::Port& port, CloudClient& cloud, state::Ledger& ledger,
-                workers::Workers& workers, const config::Config& config,
-                std::function<void(state::Machine&)> failed);
+    MachineInventory(sansio::Context& port, CloudClient& cloud, state::ClusterState& ledger,
+                     workers::WorkerManager& workers, const config::Config& config,
+                     std::function<void(state::Machine&)> failed);
 
     void tick();
     // Another term begins.
@@ -33,10 +33,10 @@
     void take_row(const wire::MachineListing& row);
     void count_missing();
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     CloudClient& cloud_;
-    state::Ledger& ledger_;
-    workers::Workers& workers_;
+    state::ClusterState& state_;
+    workers::WorkerManager& workers_;
     const config::Config& config_;
     std::function<void(state::Machine&)> failed_;
     bool reading_ = false;
--- a/src/provisioning/machine_type_catalog.hpp
+++ b/src/provisioning/machine_type_catalog.hpp
@@ -10,9 +10,9 @@
 
 namespace dunebridge::provisioning {
 
-class MachineTypes {
+class MachineTypeCatalog {
   public:
-    MachineTypes(sansio::Port& port, CloudClient& cloud) : port_(port), cloud_(cloud) {}
+    MachineTypeCatalog(sansio::Context& port, CloudClient& cloud) : context_(port), cloud_(cloud) {}
 
     // Every node needs them once; the leader follows the prices.
     void tick(bool leads);
@@ -23,7 +23,7 @@
   private:
     void fetch();
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     CloudClient& cloud_;
     std::vector<wire::MachineType> types_;
     bool fetching_ = false;
--- a/src/provisioning/provisioner.hpp
+++ b/src/provisioning/provisioner.hpp
@@ -24,8 +24,9 @@
 
 class Provisioner {
   public:
-    Provisioner(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
-                workers::Workers& workers, const config::Config& config);
+    Provisioner(sansio::Context& port, coordination::Election& election,
+                state::ClusterState& ledger, workers::WorkerManager& workers,
+                const config::Config& config);
 
     // On every node.
     void tick_types() { types_.tick(election_.is_leader()); }
@@ -36,31 +37,31 @@
 
     const std::vector<wire::MachineType>& types() const { return types_.all(); }
     const wire::MachineType* type(const std::string& name) const { return types_.find(name); }
-    state::RunTimes& run_times() { return run_times_; }
+    state::RunTimeEstimator& run_times() { return run_time_estimator_; }
 
   private:
     void resize();
     void observe_load();
-    SizingInput sizing_input();
+    ScalingInput sizing_input();
     Capacity capacity_of(const state::Machine& machine) const;
     std::vector<Demand> demand() const;
     Demand demand_of(const state::Job& job) const;
     bool fits_some_machine(const Demand& demand) const;
-    void warn_if_too_large(const SizingInput& input);
-    void log_sizing(const SizingInput& input, const SizingPlan& plan) const;
+    void warn_if_too_large(const ScalingInput& input);
+    void log_sizing(const ScalingInput& input, const ScalingPlan& plan) const;
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     coordination::Election& election_;
-    state::Ledger& ledger_;
-    workers::Workers& workers_;
+    state::ClusterState& state_;
+    workers::WorkerManager& workers_;
     const config::Config& config_;
     CloudClient cloud_;
-    MachineTypes types_;
-    state::RunTimes run_times_;
-    StartupMonitor startups_;
-    MachineReturns returns_;
-    MachineList list_;
-    Rentals rentals_;
+    MachineTypeCatalog types_;
+    state::RunTimeEstimator run_time_estimator_;
+    BootMonitor boot_monitor_;
+    ScaleIn scale_in_;
+    MachineInventory list_;
+    ScaleOut scale_outs_;
     Instant next_resize_{};
     Instant no_return_before_{};
     Instant last_load_{};
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -15,7 +15,7 @@
 constexpr Millis kDeletionRetry{1000};
 constexpr std::size_t kMaxHostsPerDeletion = 100;
 // Before a machine with tasks is given up as silent.
-constexpr int kMissedReports = 7;
+constexpr int kMissedHeartbeats = 7;
 constexpr Millis kSilentMargin{3000};
 // Before one without tasks that has never reported in this term is.
 constexpr Millis kUnreportedIdle{15000};
@@ -25,72 +25,72 @@
 constexpr Millis kSaveMargin{3000};
 constexpr std::uint32_t kMissingLists = 2;
 
-const char* name_of(ReturnReason reason) {
+const char* name_of(ScaleInReason reason) {
     switch (reason) {
-        case ReturnReason::idle:
+        case ScaleInReason::idle:
             return "idle";
-        case ReturnReason::drained:
+        case ScaleInReason::drained:
             return "drained";
-        case ReturnReason::stuck:
+        case ScaleInReason::stuck:
             return "stuck";
-        case ReturnReason::failed:
+        case ScaleInReason::failed:
             return "failed";
-        case ReturnReason::taken:
+        case ScaleInReason::taken:
             return "taken";
-        case ReturnReason::unlisted:
+        case ScaleInReason::unlisted:
             return "unlisted";
-        case ReturnReason::unheard:
+        case ScaleInReason::unheard:
             return "unheard";
-        case ReturnReason::silent:
+        case ScaleInReason::silent:
             return "silent";
-        case ReturnReason::unresponsive:
+        case ScaleInReason::unresponsive:
             return "unresponsive";
-        case ReturnReason::cancelled_tasks:
+        case ScaleInReason::cancelled_tasks:
             return "cancelled_tasks";
     }
     return "";
 }
 }  // namespace
 
-MachineReturns::MachineReturns(sansio::Port& port, CloudClient& cloud, state::Ledger& ledger,
-                               workers::Workers& workers, const MachineTypes& types,
-                               const StartupMonitor& startups, const config::Config& config)
-    : port_(port),
+ScaleIn::ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& ledger,
+                 workers::WorkerManager& workers, const MachineTypeCatalog& types,
+                 const BootMonitor& startups, const config::Config& config)
+    : context_(port),
       cloud_(cloud),
-      ledger_(ledger),
+      state_(ledger),
       workers_(workers),
       types_(types),
-      startups_(startups),
+      boot_monitor_(startups),
       config_(config) {}
 
-void MachineReturns::reset() {
-    given_up_.clear();
+void ScaleIn::reset() {
+    released_.clear();
     deleting_ = false;
     next_deletion_ = Instant{};
 }
 
-void MachineReturns::give_up(Machine& machine, ReturnReason why) {
+void ScaleIn::release(Machine& machine, ScaleInReason why) {
     if (machine.cloud.deleting) return;
     machine.cloud.deleting = true;
-    given_up_.insert(machine.host);
-    port_.log(LogLevel::info, "event=machine_return host={} type={} tasks={} why={}",
-              machine.host.get(), machine.machine_type, machine.tasks.size(), name_of(why));
+    released_.insert(machine.host);
+    context_.log(LogLevel::info, "event=machine_return host={} type={} tasks={} why={}",
+                 machine.host.get(), machine.machine_type, machine.tasks.size(), name_of(why));
 }
 
-void MachineReturns::check() {
-    if (port_.now() < next_check_) return;
-    next_check_ = port_.now() + kCheckEvery;
+void ScaleIn::check() {
+    if (context_.now() < next_check_) return;
+    next_check_ = context_.now() + kCheckEvery;
     count_silent();
-    tasks_of_ended_ = std::any_of(ledger_.jobs().begin(), ledger_.jobs().end(), [](const auto& j) {
-        return j.second.state == JobState::ended && j.second.placed > 0;
+    tasks_of_ended_ = std::any_of(state_.jobs().begin(), state_.jobs().end(), [](const auto& j) {
+        return j.second.state == JobState::terminal && j.second.placed > 0;
     });
-    for (auto& [host, machine] : ledger_.machines()) check_machine(machine);
+    for (auto& [host, machine] : state_.machines()) check_machine(machine);
 }
 
-void MachineReturns::count_silent() {
+void ScaleIn::count_silent() {
     std::size_t up = 0;
     std::size_t silent = 0;
-    for (const auto& [host, machine] : ledger_.machines()) {
+    for (const auto& [host, machine] : state_.machines()) {
         if (machine.cloud.deleting || (!machine.worker.reported && machine.tasks.empty())) continue;
         ++up;
         if (workers_.late(machine)) ++silent;
@@ -101,102 +101,104 @@
 // How long a silent machine with tasks is waited for. A short cut ends by itself and its tasks have
 // run on meanwhile; after some missed reports it is quicker to delete the machine, which proves the
 // tasks gone, than to wait for a long lease to end.
-Millis MachineReturns::patience() const {
+Millis ScaleIn::patience() const {
     return std::min(config_.lease + kSilentMargin,
-                    std::max(config_.report * kMissedReports, config_.lease * 6 / 10));
+                    std::max(config_.report * kMissedHeartbeats, config_.lease * 6 / 10));
 }
 
-void MachineReturns::check_machine(Machine& machine) {
+void ScaleIn::check_machine(Machine& machine) {
     if (machine.cloud.deleting) return;
     const auto* type = types_.find(machine.machine_type);
     if (type) machine.total = {type->cores, type->accelerators, type->ram_gb};
     if (!machine.worker.reported) {
-        const auto why = why_give_up_unreported(machine);
-        if (why) give_up(machine, *why);
+        const auto why = release_reason_without_heartbeat(machine);
+        if (why) release(machine, *why);
         return;
     }
-    const auto why = why_give_up_reported(machine);
-    if (why) give_up(machine, *why);
+    const auto why = release_reason_with_heartbeat(machine);
+    if (why) release(machine, *why);
     save_tasks(machine);
-    if (holds_cancelled_tasks_too_long(machine)) give_up(machine, ReturnReason::cancelled_tasks);
+    if (holds_cancelled_tasks_too_long(machine)) release(machine, ScaleInReason::cancelled_tasks);
 }
 
 // Of a machine that has not reported to this term's leader; none: it is kept.
-std::optional<ReturnReason> MachineReturns::why_give_up_unreported(const Machine& machine) const {
-    const auto now = port_.now();
+std::optional<ScaleInReason> ScaleIn::release_reason_without_heartbeat(
+    const Machine& machine) const {
+    const auto now = context_.now();
     // A new leader has reports only from its own term's start on.
     const auto known = now - machine.worker.known_since;
-    const bool unlisted = machine.cloud.missing_lists >= kMissingLists;
+    const bool unlisted = machine.cloud.missed_listings >= kMissingLists;
     if (!machine.tasks.empty()) {
-        if (unlisted && known > patience()) return ReturnReason::unlisted;
+        if (unlisted && known > patience()) return ScaleInReason::unlisted;
         if (known <= (many_silent_ ? config_.lease * 2 : patience())) return std::nullopt;
-        return ReturnReason::unheard;
+        return ScaleInReason::unheard;
     }
     // Deleted by an earlier leader that did not see it confirmed: the machine list is late.
-    if (unlisted && known > config_.list_lag * 3 + kSilentMargin) return ReturnReason::unlisted;
+    if (unlisted && known > config_.list_lag * 3 + kSilentMargin) return ScaleInReason::unlisted;
     if (known <= kUnreportedIdle) return std::nullopt;
-    if (!machine.cloud.starting) return ReturnReason::unheard;
-    const bool stuck = now - machine.cloud.rented_at > startups_.give_up_after(machine);
-    return stuck ? std::optional(ReturnReason::stuck) : std::nullopt;
+    if (!machine.cloud.starting) return ScaleInReason::unheard;
+    const bool stuck = now - machine.cloud.provisioned_at > boot_monitor_.release_after(machine);
+    return stuck ? std::optional(ScaleInReason::stuck) : std::nullopt;
 }
 
 // Of a machine that has reported to this term's leader; none: it is kept.
-std::optional<ReturnReason> MachineReturns::why_give_up_reported(const Machine& machine) const {
+std::optional<ScaleInReason> ScaleIn::release_reason_with_heartbeat(const Machine& machine) const {
     const bool missed_two = workers_.silent(machine, config_.report * 2);
-    const bool taken = machine.taken_at && port_.now() > *machine.taken_at;
-    if (taken && missed_two) return ReturnReason::taken;
-    const bool unlisted = machine.cloud.listed && machine.cloud.missing_lists >= kMissingLists;
-    if (unlisted && missed_two) return ReturnReason::unlisted;
+    const bool taken = machine.preemption_at && context_.now() > *machine.preemption_at;
+    if (taken && missed_two) return ScaleInReason::taken;
+    const bool unlisted = machine.cloud.listed && machine.cloud.missed_listings >= kMissingLists;
+    if (unlisted && missed_two) return ScaleInReason::unlisted;
     // No command reaches it, and its lease ends by itself.
-    if (workers_.unresponsive_for(machine) > patience()) return ReturnReason::unresponsive;
+    if (workers_.unresponsive_for(machine) > patience()) return ScaleInReason::unresponsive;
     // More likely this node's own trouble than that of so many machines at once.
     if (many_silent_ && !workers_.silent(machine, config_.lease * 2)) return std::nullopt;
     const auto limit = machine.tasks.empty() ? config_.lease : patience();
-    if (workers_.silent(machine, limit)) return ReturnReason::silent;
-    const bool drained = machine.draining && machine.tasks.empty();
-    return drained ? std::optional(ReturnReason::drained) : std::nullopt;
+    if (workers_.silent(machine, limit)) return ScaleInReason::silent;
+    const bool drained = machine.cordoned && machine.tasks.empty();
+    return drained ? std::optional(ScaleInReason::drained) : std::nullopt;
 }
 
 // Tasks of cancelled jobs must be gone in time, whether the machine can be reached or not.
-bool MachineReturns::holds_cancelled_tasks_too_long(const Machine& machine) const {
+bool ScaleIn::holds_cancelled_tasks_too_long(const Machine& machine) const {
     if (!tasks_of_ended_) return false;
     const auto longest = config_.cancel * 2 / 5;
     return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
         const auto& job = *entry.second.job;
-        return job.state == JobState::ended && port_.now() - job.ended_at > longest;
+        return job.state == JobState::terminal && context_.now() - job.terminal_since > longest;
     });
 }
 
 // A machine that goes away: tasks that can save do so in time, the others run on while they may.
-void MachineReturns::save_tasks(Machine& machine) {
-    if (!machine.taken_at && !machine.draining) return;
+void ScaleIn::save_tasks(Machine& machine) {
+    if (!machine.preemption_at && !machine.cordoned) return;
     for (auto& [key, placement] : machine.tasks) {
         const auto& spec = placement.job->spec;
         const auto grace_s = spec.checkpoint_every_s > 0 ? spec.checkpoint_s : 0.0;
-        const auto saved_at = port_.now() + from_seconds(grace_s) + kSaveMargin;
-        const bool now_or_never = machine.taken_at && grace_s > 0 && saved_at >= *machine.taken_at;
-        if (machine.draining || now_or_never) workers_.stop(machine, placement, grace_s);
+        const auto saved_at = context_.now() + from_seconds(grace_s) + kSaveMargin;
+        const bool now_or_never =
+            machine.preemption_at && grace_s > 0 && saved_at >= *machine.preemption_at;
+        if (machine.cordoned || now_or_never) workers_.stop(machine, placement, grace_s);
     }
 }
 
-void MachineReturns::send_deletions() {
-    if (deleting_ || port_.now() < next_deletion_) return;
-    if (given_up_.empty() || !cloud_.take_request()) return;
-    const auto count = std::min(given_up_.size(), kMaxHostsPerDeletion);
-    const auto last = std::next(given_up_.begin(), static_cast<std::ptrdiff_t>(count));
-    const std::vector<HostName> hosts(given_up_.begin(), last);
+void ScaleIn::send_deletions() {
+    if (deleting_ || context_.now() < next_deletion_) return;
+    if (released_.empty() || !cloud_.take_request()) return;
+    const auto count = std::min(released_.size(), kMaxHostsPerDeletion);
+    const auto last = std::next(released_.begin(), static_cast<std::ptrdiff_t>(count));
+    const std::vector<HostName> hosts(released_.begin(), last);
     deleting_ = true;
-    cloud_.delete_machines(hosts, [this, hosts, generation = ledger_.generation()](bool deleted) {
-        if (!ledger_.usable_in(generation)) return;
+    cloud_.delete_machines(hosts, [this, hosts, generation = state_.generation()](bool deleted) {
+        if (!state_.usable_in(generation)) return;
         deleting_ = false;
         if (!deleted) {
-            next_deletion_ = port_.now() + kDeletionRetry;
+            next_deletion_ = context_.now() + kDeletionRetry;
             return;
         }
         for (const auto& host : hosts) {
-            given_up_.erase(host);
-            workers_.deleted(host);
-            if (auto* machine = ledger_.find_machine(host)) ledger_.drop_machine(*machine);
+            released_.erase(host);
+            workers_.mark_released(host);
+            if (auto* machine = state_.find_machine(host)) state_.drop_machine(*machine);
         }
     });
 }
--- a/src/provisioning/scale_in.hpp
+++ b/src/provisioning/scale_in.hpp
@@ -19,7 +19,7 @@
 namespace dunebridge::provisioning {
 
 // Why a machine is given up, as operators see it in the log (docs/operations.md).
-enum class ReturnReason : std::uint8_t {
+enum class ScaleInReason : std::uint8_t {
     idle,
     drained,          // it was to get no more tasks, and has none left
     stuck,            // it never came up
@@ -32,37 +32,38 @@
     cancelled_tasks,  // tasks of a cancelled job are not confirmed gone
 };
 
-class MachineReturns {
+class ScaleIn {
   public:
-    MachineReturns(sansio::Port& port, CloudClient& cloud, state::Ledger& ledger,
-                   workers::Workers& workers, const MachineTypes& types,
-                   const StartupMonitor& startups, const config::Config& config);
+    ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& ledger,
+            workers::WorkerManager& workers, const MachineTypeCatalog& types,
+            const BootMonitor& startups, const config::Config& config);
 
     // Another term begins.
     void reset();
     // Looks for machines to be given up, now and then.
     void check();
     // The machine is to be deleted.
-    void give_up(state::Machine& machine, ReturnReason why);
+    void release(state::Machine& machine, ScaleInReason why);
     void send_deletions();
 
   private:
     void count_silent();
     void check_machine(state::Machine& machine);
-    std::optional<ReturnReason> why_give_up_unreported(const state::Machine& machine) const;
-    std::optional<ReturnReason> why_give_up_reported(const state::Machine& machine) const;
+    std::optional<ScaleInReason> release_reason_without_heartbeat(
+        const state::Machine& machine) const;
+    std::optional<ScaleInReason> release_reason_with_heartbeat(const state::Machine& machine) const;
     bool holds_cancelled_tasks_too_long(const state::Machine& machine) const;
     void save_tasks(state::Machine& machine);
     Millis patience() const;
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     CloudClient& cloud_;
-    state::Ledger& ledger_;
-    workers::Workers& workers_;
-    const MachineTypes& types_;
-    const StartupMonitor& startups_;
+    state::ClusterState& state_;
+    workers::WorkerManager& workers_;
+    const MachineTypeCatalog& types_;
+    const BootMonitor& boot_monitor_;
     const config::Config& config_;
-    std::set<HostName> given_up_;  // machines to be deleted
+    std::set<HostName> released_;  // machines to be deleted
     bool deleting_ = false;
     Instant next_deletion_{};
     Instant next_check_{};
--- a/src/provisioning/scale_out.hpp
+++ b/src/provisioning/scale_out.hpp
@@ -18,21 +18,22 @@
 
 namespace dunebridge::provisioning {
 
-class Rentals {
+class ScaleOut {
   public:
-    Rentals(sansio::Port& port, CloudClient& cloud, coordination::Election& election,
-            state::Ledger& ledger, workers::Workers& workers, const config::Config& config);
+    ScaleOut(sansio::Context& port, CloudClient& cloud, coordination::Election& election,
+             state::ClusterState& ledger, workers::WorkerManager& workers,
+             const config::Config& config);
 
     // Another term begins.
     void reset();
     // Asks for machines. More than one request can hold are asked for again by the caller.
-    void request(const Market& market, std::size_t count);
+    void request(const InstancePool& pool, std::size_t count);
     // Sends what is committed and not answered.
     void send();
     // Markets that have refused lately.
-    std::set<Market> blocked() const;
+    std::set<InstancePool> blocked() const;
     // Machines asked for and not answered for, by market.
-    std::map<Market, std::size_t> pending() const;
+    std::map<InstancePool, std::size_t> pending() const;
 
   private:
     struct Refusal {
@@ -42,18 +43,18 @@
     std::string key_prefix() const;
     bool asked_in_this_term(const std::string& idempotency_key) const;
     bool may_send(const std::string& idempotency_key);
-    void answered(const wire::RentalRequest& request, const RentalResult& result);
-    void refused(const Market& market);
+    void answered(const wire::ScaleOutRequest& request, const ScaleOutResult& result);
+    void refused(const InstancePool& pool);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     CloudClient& cloud_;
     coordination::Election& election_;
-    state::Ledger& ledger_;
-    workers::Workers& workers_;
+    state::ClusterState& state_;
+    workers::WorkerManager& workers_;
     const config::Config& config_;
     std::set<std::string> in_flight_;          // idempotency keys
     std::map<std::string, Instant> retry_at_;  // by idempotency key
-    std::map<Market, Refusal> refusals_;
+    std::map<InstancePool, Refusal> refusals_;
     std::uint64_t requests_ = 0;  // in this term
 };
 
--- a/src/provisioning/scaling_plan.hpp
+++ b/src/provisioning/scaling_plan.hpp
@@ -15,11 +15,11 @@
 namespace dunebridge::provisioning {
 
 // A place where the cloud may have machines: type, zone, spot or ordinary.
-struct Market {
+struct InstancePool {
     std::string machine_type;
     std::string zone;
     bool spot = false;
-    auto operator<=>(const Market&) const = default;
+    auto operator<=>(const InstancePool&) const = default;
 };
 
 // Like tasks that wait, decided as a class.
@@ -34,21 +34,21 @@
 };
 
 struct Capacity {
-    Market market;
+    InstancePool pool;
     double cores = 0;
     double idle_s = 0;       // 0 while it has tasks
     bool available = false;  // up or starting, and not to be returned
 };
 
-struct SizingInput {
+struct ScalingInput {
     std::vector<wire::MachineType> types;
     std::vector<Demand> demand;
     std::vector<Capacity> machines;
-    std::map<Market, std::size_t> pending;  // being rented
-    std::set<Market> blocked;               // refused lately
+    std::map<InstancePool, std::size_t> pending;  // being rented
+    std::set<InstancePool> blocked;               // refused lately
     // From markets that do not deliver, so many machines are rented at most, unless there is no
     // other.
-    std::map<Market, std::size_t> allowances;
+    std::map<InstancePool, std::size_t> allowances;
     double placed_cores = 0;
     double load_cores = 0;  // lately observed average of cores in use and asked for
     double headroom = 1.25;
@@ -57,17 +57,17 @@
     double idle_return_s = 60;
 };
 
-struct Rent {
-    Market market;
+struct ScaleOutStep {
+    InstancePool pool;
     std::size_t count = 0;
 };
 
-struct SizingPlan {
+struct ScalingPlan {
     double target_cores = 0;
-    std::vector<Rent> rent;
-    std::vector<std::size_t> give_back;  // indices into machines
+    std::vector<ScaleOutStep> rent;
+    std::vector<std::size_t> scale_in;  // indices into machines
 };
 
-SizingPlan plan(const SizingInput& in);
+ScalingPlan plan(const ScalingInput& in);
 
 }  // namespace dunebridge::provisioning
--- a/src/sansio/context.hpp
+++ b/src/sansio/context.hpp
@@ -17,12 +17,12 @@
 
 namespace dunebridge::sansio {
 
-enum class Service : std::uint8_t { state, cloud, worker, peer };
+enum class Destination : std::uint8_t { state, cloud, worker, peer };
 enum class LogLevel : std::uint8_t { error, info, debug };
 
 struct HttpCall {
     CallId id;
-    Service service = Service::state;
+    Destination service = Destination::state;
     std::string endpoint;  // workers and peers; the others have one address each
     std::string method;
     std::string target;
@@ -31,44 +31,44 @@
 };
 
 // What came of a call.
-struct HttpReply {
+struct HttpResult {
     // Instead of a status of HTTP. Without an answer the request may have been carried out, or may
     // yet be; one that was not sent certainly has not and will not.
-    static constexpr int kNoAnswer = 0;
-    static constexpr int kUnsent = -1;
+    static constexpr int kNoResponse = 0;
+    static constexpr int kNotSent = -1;
 
-    int status = kNoAnswer;
+    int status = kNoResponse;
     std::string body;
 
     bool answered() const { return status > 0; }
-    bool unsent() const { return status == kUnsent; }
+    bool unsent() const { return status == kNotSent; }
 };
 
-struct Answer {
+struct HttpResponse {
     RequestId id;
     int status = 200;
     std::string body;
     int retry_after_s = 0;
 };
 
-struct LogLine {
+struct LogRecord {
     LogLevel level = LogLevel::info;
     std::string text;
 };
 
 struct Effects {
     std::vector<HttpCall> calls;
-    std::vector<Answer> answers;
-    std::vector<LogLine> logs;
+    std::vector<HttpResponse> answers;
+    std::vector<LogRecord> logs;
 };
 
-class Port {
+class Context {
   public:
-    using Continuation = std::function<void(const HttpReply&)>;
+    using Continuation = std::function<void(const HttpResult&)>;
 
-    Port(std::uint64_t seed, LogLevel level) : rng_(seed), level_(level) {}
+    Context(std::uint64_t seed, LogLevel level) : rng_(seed), level_(level) {}
 
-    void set_time(Instant now, std::int64_t wall_ms) {
+    void advance_clock(Instant now, std::int64_t wall_ms) {
         now_ = now;
         wall_ms_ = wall_ms;
     }
@@ -80,14 +80,14 @@
         return Millis(std::uniform_int_distribution<std::int64_t>(0, most.count())(rng_));
     }
 
-    void call(Service service, std::string endpoint, std::string method, std::string target,
+    void call(Destination service, std::string endpoint, std::string method, std::string target,
               std::string body, Millis timeout, Continuation then) {
         const CallId id(++last_call_);
         pending_.emplace(id, std::move(then));
         effects_.calls.push_back({id, service, std::move(endpoint), std::move(method),
                                   std::move(target), std::move(body), timeout});
     }
-    void complete(CallId id, const HttpReply& reply) {
+    void complete(CallId id, const HttpResult& reply) {
         const auto it = pending_.find(id);
         if (it == pending_.end()) return;
         const auto then = std::move(it->second);
@@ -115,13 +115,13 @@
             timers_.erase(timers_.begin());
             then();
         }
-        if (!timers_.empty()) wake_at(timers_.begin()->first);
+        if (!timers_.empty()) request_wake(timers_.begin()->first);
     }
 
     // The earliest moment at which the core wants to be run again.
-    void wake_at(Instant t) { wake_ = std::min(wake_, t); }
+    void request_wake(Instant t) { wake_ = std::min(wake_, t); }
     Instant wake() const { return wake_; }
-    void reset_wake() { wake_ = Instant::max(); }
+    void clear_wake_time() { wake_ = Instant::max(); }
 
     Effects take() { return std::exchange(effects_, {}); }
 
--- a/src/scheduler/bin_packing.cpp
+++ b/src/scheduler/bin_packing.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-double used_share(const Room& r) {
+double used_share(const FreeCapacity& r) {
     return r.total.cores > 0 ? 1.0 - r.free.cores / r.total.cores : 0.0;
 }
 
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::vector<std::size_t> best_fit(const std::vector<Room>& rooms, const Resources& need,
+std::vector<std::size_t> best_fit(const std::vector<FreeCapacity>& rooms, const Resources& need,
                                   const Allowed& allowed, const HasImage& has_image) {
     using Rank = std::tuple<double, bool, double>;
     std::vector<std::pair<Rank, std::size_t>> ranked;
@@ -37,8 +37,8 @@
     return by_rank(std::move(ranked));
 }
 
-std::vector<std::size_t> promised_fit(const std::vector<Room>& rooms, const Resources& need,
-                                      const Allowed& allowed, const Earliest& earliest_s) {
+std::vector<std::size_t> future_fit(const std::vector<FreeCapacity>& rooms, const Resources& need,
+                                    const Allowed& allowed, const Earliest& earliest_s) {
     std::vector<std::pair<double, std::size_t>> ranked;
     for (std::size_t i = 0; i < rooms.size(); ++i) {
         if (rooms[i].later.holds(need) && allowed(i)) ranked.emplace_back(-earliest_s(i), i);
--- a/src/scheduler/bin_packing.hpp
+++ b/src/scheduler/bin_packing.hpp
@@ -14,7 +14,7 @@
 
 // What a machine has to give. `later` also counts what tasks that are being stopped will leave,
 // less what is promised to those they are stopped for.
-struct Room {
+struct FreeCapacity {
     Resources total;
     Resources free;
     Resources later;
@@ -26,12 +26,12 @@
 using Earliest = std::function<double(std::size_t)>;
 
 // The rooms that hold the need now, the fullest machine first; an image already there breaks ties.
-std::vector<std::size_t> best_fit(const std::vector<Room>& rooms, const Resources& need,
+std::vector<std::size_t> best_fit(const std::vector<FreeCapacity>& rooms, const Resources& need,
                                   const Allowed& allowed, const HasImage& has_image);
 
 // For tasks that no machine holds: the rooms in which they will fit once tasks that are already
 // being stopped are gone, the one with the earliest finish first.
-std::vector<std::size_t> promised_fit(const std::vector<Room>& rooms, const Resources& need,
-                                      const Allowed& allowed, const Earliest& earliest_s);
+std::vector<std::size_t> future_fit(const std::vector<FreeCapacity>& rooms, const Resources& need,
+                                    const Allowed& allowed, const Earliest& earliest_s);
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -18,9 +18,9 @@
 constexpr Millis kAged{90000};
 }  // namespace
 
-WaitingList::WaitingList(sansio::Port& port, state::Ledger& ledger,
-                         const state::RunTimes& run_times, const config::Config& config)
-    : port_(port), ledger_(ledger), run_times_(run_times), config_(config) {
+PendingQueue::PendingQueue(sansio::Context& port, state::ClusterState& ledger,
+                           const state::RunTimeEstimator& run_times, const config::Config& config)
+    : context_(port), state_(ledger), run_time_estimator_(run_times), config_(config) {
     const auto lower = [](std::optional<double>& least_s, double within_s) {
         least_s = std::min(least_s.value_or(within_s), within_s);
     };
@@ -33,39 +33,39 @@
     }
 }
 
-bool WaitingList::high(const Job& job) const {
+bool PendingQueue::is_high_priority(const Job& job) const {
     return job.priority >= config_.tuning.preempts_from;
 }
 
-std::vector<WaitingJob> WaitingList::jobs() {
-    std::vector<WaitingJob> out;
-    for (auto& [id, job] : ledger_.jobs()) {
-        if (job.state != JobState::open || job.waiting.empty() || job.waits()) continue;
-        if (port_.now() < job.retry_at) {
-            port_.wake_at(job.retry_at);
+std::vector<PendingJob> PendingQueue::jobs() {
+    std::vector<PendingJob> out;
+    for (auto& [id, job] : state_.jobs()) {
+        if (job.state != JobState::active || job.waiting.empty() || job.waits()) continue;
+        if (context_.now() < job.backoff_until) {
+            context_.request_wake(job.backoff_until);
             continue;
         }
         const bool aged =
-            !job.begun() && !job.failures.faulty && port_.now() - job.ready_at > kAged;
+            !job.has_started() && !job.failures.faulty && context_.now() - job.ready_at > kAged;
         out.push_back({&job, false, aged, due(job), {}});
     }
     if (out.empty()) return out;
     mark_guaranteed(out);
     for (auto& waiting : out) {
         const auto& job = *waiting.job;
-        const int group = waiting.aged ? 0 : high(job) || waiting.guaranteed ? 1 : 2;
+        const int group = waiting.aged ? 0 : is_high_priority(job) || waiting.guaranteed ? 1 : 2;
         waiting.rank = {group, -static_cast<int>(job.priority), waiting.due, job.sequence};
     }
     std::sort(out.begin(), out.end(),
-              [](const WaitingJob& a, const WaitingJob& b) { return a.rank < b.rank; });
+              [](const PendingJob& a, const PendingJob& b) { return a.rank < b.rank; });
     return out;
 }
 
 // The jobs that may start, in the order in which they might.
-std::vector<const Job*> WaitingList::open_jobs() const {
+std::vector<const Job*> PendingQueue::open_jobs() const {
     std::vector<const Job*> open;
-    for (const auto& [id, job] : ledger_.jobs()) {
-        if (job.state == JobState::open && !job.waits()) open.push_back(&job);
+    for (const auto& [id, job] : state_.jobs()) {
+        if (job.state == JobState::active && !job.waits()) open.push_back(&job);
     }
     std::sort(open.begin(), open.end(), [](const Job* a, const Job* b) {
         return std::tie(a->ready_at, a->sequence) < std::tie(b->ready_at, b->sequence);
@@ -75,13 +75,13 @@
 
 // A job is within its team's guarantee if it fits into it together with the team's earlier
 // unfinished jobs.
-void WaitingList::mark_guaranteed(std::vector<WaitingJob>& waiting) const {
+void PendingQueue::mark_guaranteed(std::vector<PendingJob>& waiting) const {
     const bool any = std::any_of(config_.teams.begin(), config_.teams.end(),
                                  [](const auto& team) { return team.cpus > 0 || team.gpus > 0; });
     if (!any) return;
     struct TeamSum {
         const config::Team* team = nullptr;
-        state::TeamUse wanted;
+        state::TeamUsage wanted;
     };
     std::map<std::string_view, TeamSum> sums;
     for (const auto& team : config_.teams) sums[team.name].team = &team;
@@ -98,28 +98,28 @@
     for (auto& entry : waiting) entry.guaranteed = within.contains(entry.job);
 }
 
-const WaitingList::ClassAims& WaitingList::aims(const Job& job) const {
+const PendingQueue::ClassAims& PendingQueue::aims(const Job& job) const {
     static const ClassAims none;
     const auto it = aims_.find(job.spec.job_class);
     return it == aims_.end() ? none : it->second;
 }
 
-Instant WaitingList::due(const Job& job) const {
+Instant PendingQueue::due(const Job& job) const {
     const double within_s = std::min(kNoDeadline_s, aims(job).finished_s.value_or(kNoDeadline_s));
-    return std::min(job.ready_at + from_seconds(within_s), job.end_by);
+    return std::min(job.ready_at + from_seconds(within_s), job.latest_end);
 }
 
-Instant WaitingList::start_by(const WaitingJob& waiting) const {
+Instant PendingQueue::latest_start(const PendingJob& waiting) const {
     const auto& job = *waiting.job;
     double within_s = std::min(kNoDeadline_s, aims(job).wait_s.value_or(kNoDeadline_s));
     if (waiting.guaranteed) within_s = std::min(within_s, guarantee_s_.value_or(within_s));
     // A start counts once the image is there; and the users' estimates are often wrong by half.
     const double fetch_s = job.spec.image_gb / kFetchGuess_gb_per_s;
-    const double run_s =
-        std::max(run_times_.expected_s(job), job.spec.expected_s) * state::kEstimateUncertainty;
+    const double run_s = std::max(run_time_estimator_.expected_s(job), job.spec.expected_s) *
+                         state::kRunTimeUncertainty;
     const auto wait_s = std::max(0.0, within_s - fetch_s - kStop_s);
     const auto latest = job.ready_at + from_seconds(wait_s);
-    if (job.end_by == Instant::max()) return latest;
+    if (job.latest_end == Instant::max()) return latest;
     return std::min(latest, due(job) - from_seconds(run_s + fetch_s + kStop_s));
 }
 
--- a/src/scheduler/pending_queue.hpp
+++ b/src/scheduler/pending_queue.hpp
@@ -18,7 +18,7 @@
 
 namespace dunebridge::scheduler {
 
-struct WaitingJob {
+struct PendingJob {
     state::Job* job = nullptr;
     bool guaranteed = false;  // within its team's guarantee
     bool aged = false;        // has waited long without a single task begun
@@ -27,17 +27,17 @@
     std::tuple<int, int, Instant, std::uint64_t> rank;
 };
 
-class WaitingList {
+class PendingQueue {
   public:
-    WaitingList(sansio::Port& port, state::Ledger& ledger, const state::RunTimes& run_times,
-                const config::Config& config);
+    PendingQueue(sansio::Context& port, state::ClusterState& ledger,
+                 const state::RunTimeEstimator& run_times, const config::Config& config);
 
     // The jobs with tasks that may be placed now, in order.
-    std::vector<WaitingJob> jobs();
+    std::vector<PendingJob> jobs();
     // Until then the job's aims can be met without preemption.
-    Instant start_by(const WaitingJob& waiting) const;
+    Instant latest_start(const PendingJob& waiting) const;
     // Whether the job may preempt, and is not preempted itself.
-    bool high(const state::Job& job) const;
+    bool is_high_priority(const state::Job& job) const;
 
   private:
     // What the settings ask of a class of jobs, in seconds from when it may start.
@@ -46,14 +46,14 @@
         std::optional<double> finished_s;
     };
 
-    void mark_guaranteed(std::vector<WaitingJob>& waiting) const;
+    void mark_guaranteed(std::vector<PendingJob>& waiting) const;
     std::vector<const state::Job*> open_jobs() const;
     const ClassAims& aims(const state::Job& job) const;
     Instant due(const state::Job& job) const;
 
-    sansio::Port& port_;
-    state::Ledger& ledger_;
-    const state::RunTimes& run_times_;
+    sansio::Context& context_;
+    state::ClusterState& state_;
+    const state::RunTimeEstimator& run_time_estimator_;
     const config::Config& config_;
     std::map<std::string, ClassAims> aims_;  // by job class
     std::optional<double> guarantee_s_;
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -23,25 +23,26 @@
 
 }  // namespace
 
-Scheduler::Scheduler(sansio::Port& port, state::Ledger& ledger, workers::Workers& workers,
-                     const state::RunTimes& run_times, const config::Config& config)
-    : port_(port),
-      ledger_(ledger),
+Scheduler::Scheduler(sansio::Context& port, state::ClusterState& ledger,
+                     workers::WorkerManager& workers, const state::RunTimeEstimator& run_times,
+                     const config::Config& config)
+    : context_(port),
+      state_(ledger),
       workers_(workers),
-      run_times_(run_times),
+      run_time_estimator_(run_times),
       config_(config),
-      waiting_list_(port, ledger, run_times, config) {}
+      pending_queue_(port, ledger, run_times, config) {}
 
 std::size_t Scheduler::run() {
-    const auto waiting = waiting_list_.jobs();
+    const auto waiting = pending_queue_.jobs();
     if (waiting.empty()) return 0;
-    find_rooms(waiting);
+    collect_capacities(waiting);
     for (const auto& entry : waiting) entry.aged ? begin(entry) : place(entry);
     for (const auto& entry : waiting) {
-        if (entry.aged && entry.job->begun()) place(entry);
+        if (entry.aged && entry.job->has_started()) place(entry);
     }
     machines_.clear();
-    rooms_.clear();
+    capacities_.clear();
     full_machines_.clear();
     nowhere_.clear();
     exhausted_.clear();
@@ -49,7 +50,7 @@
     return waiting.size();
 }
 
-void Scheduler::find_rooms(const std::vector<WaitingJob>& waiting) {
+void Scheduler::collect_capacities(const std::vector<PendingJob>& waiting) {
     std::set<std::uint64_t> aged;
     double least_cores = std::numeric_limits<double>::max();
     for (const auto& entry : waiting) {
@@ -57,27 +58,27 @@
         if (entry.aged && quota_left(*entry.job) > 0) aged.insert(entry.job->sequence);
         least_cores = std::min(least_cores, entry.job->spec.cores);
     }
-    for (auto& [host, machine] : ledger_.machines()) {
-        const bool over = port_.now() - machine.kept_since > kKeptMost;
-        if (machine.kept_for != 0 && (over || !aged.contains(machine.kept_for)))
-            machine.kept_for = 0;
+    for (auto& [host, machine] : state_.machines()) {
+        const bool over = context_.now() - machine.reserved_since > kKeptMost;
+        if (machine.reserved_for != 0 && (over || !aged.contains(machine.reserved_for)))
+            machine.reserved_for = 0;
         // Most machines are full most of the time.
-        const double cores = machine.total.cores - machine.used.cores + machine.leaving.cores;
+        const double cores = machine.total.cores - machine.used.cores + machine.releasing.cores;
         if (cores + 1e-6 < least_cores) {
             full_machines_.push_back(&machine);
         } else if (workers_.usable(machine)) {
-            add_room(machine);
+            add_capacity(machine);
         }
     }
 }
 
-void Scheduler::add_room(Machine& machine) {
-    Room room{machine.total, machine.total, {}};
+void Scheduler::add_capacity(Machine& machine) {
+    FreeCapacity room{machine.total, machine.total, {}};
     room.free.subtract(machine.used);
     room.later = room.free;
-    room.later.add(machine.leaving);
+    room.later.add(machine.releasing);
     machines_.push_back(&machine);
-    rooms_.push_back(room);
+    capacities_.push_back(room);
 }
 
 double Scheduler::earliest_s(const Machine& machine) const {
@@ -85,15 +86,15 @@
     for (const auto& [key, placement] : machine.tasks) {
         const double ran = placement.running_since == Instant{}
                                ? 0
-                               : to_seconds(port_.now() - placement.running_since);
-        const double left = std::max(0.0, run_times_.expected_s(*placement.job) - ran) +
+                               : to_seconds(context_.now() - placement.running_since);
+        const double left = std::max(0.0, run_time_estimator_.expected_s(*placement.job) - ran) +
                             to_seconds(config_.tuning.slack);
         earliest = earliest == 0 ? left : std::min(earliest, left);
     }
     return earliest;
 }
 
-Scheduler::Kind Scheduler::kind_of(const Job& job) const {
+Scheduler::TaskShape Scheduler::shape_of(const Job& job) const {
     const auto& spec = job.spec;
     return {spec.cores,        spec.accelerators, spec.ram_gb,
             spec.spot_allowed, spec.zone,         spec.machine_types};
@@ -102,7 +103,7 @@
 std::size_t Scheduler::quota_left(const Job& job) const {
     const auto* team = config_.find_team(job.spec.team);
     if (!team) return 0;
-    const auto& use = ledger_.use(job.spec.team);
+    const auto& use = state_.use(job.spec.team);
     std::size_t left = job.placeable();
     const auto limit = [&](double most, double used, double each) {
         if (most <= 0 || each <= 0) return;
@@ -117,7 +118,7 @@
 bool Scheduler::allowed(const Job& job, const Machine& machine) const {
     const auto& spec = job.spec;
     if (machine.spot && !spec.spot_allowed) return false;
-    if (machine.kept_for != 0 && machine.kept_for != job.sequence) return false;
+    if (machine.reserved_for != 0 && machine.reserved_for != job.sequence) return false;
     if (spec.zone && *spec.zone != machine.zone) return false;
     if (spec.machine_types && std::find(spec.machine_types->begin(), spec.machine_types->end(),
                                         machine.machine_type) == spec.machine_types->end()) {
@@ -140,18 +141,18 @@
     const auto& spec = job.spec;
     // Where the zones of the job's other tasks matter, it is decided by itself.
     const bool alone = spec.together || spec.apart;
-    const auto kind = kind_of(job);
+    const auto kind = shape_of(job);
     if (!alone && nowhere_.contains(kind)) return 0;
     const auto need = job.need();
     std::size_t placed = 0;
     const auto order = best_fit(
-        rooms_, need, [&](std::size_t i) { return allowed(job, *machines_[i]); },
+        capacities_, need, [&](std::size_t i) { return allowed(job, *machines_[i]); },
         [&](std::size_t i) { return machines_[i]->images.contains(spec.image); });
     for (const auto i : order) {
-        auto& room = rooms_[i];
+        auto& room = capacities_[i];
         while (placed < most && room.free.holds(need) && room.later.holds(need) &&
                (!alone || allowed(job, *machines_[i]))) {
-            ledger_.place(job, *machines_[i]);
+            state_.place(job, *machines_[i]);
             room.free.subtract(need);
             room.later.subtract(need);
             ++placed;
@@ -162,41 +163,41 @@
     return placed;
 }
 
-void Scheduler::place(const WaitingJob& waiting) {
+void Scheduler::place(const PendingJob& waiting) {
     Job& job = *waiting.job;
     auto left = quota_left(job);
     left -= fill(job, left);
     // A job that fails everywhere stops no other's task.
-    if (!waiting_list_.high(job) || left == 0 || job.failures.faulty) return;
-    const auto latest = waiting_list_.start_by(waiting);
-    if (port_.now() < latest) {
-        port_.wake_at(latest);
+    if (!pending_queue_.is_high_priority(job) || left == 0 || job.failures.faulty) return;
+    const auto latest = pending_queue_.latest_start(waiting);
+    if (context_.now() < latest) {
+        context_.request_wake(latest);
         return;
     }
-    make_room(job, left);
+    preempt_for(job, left);
 }
 
 // Waiting work ages: under a steady flow of others that go first, a job still gets its first task.
 // Where none fits, a machine is kept from others until enough of it is free.
-void Scheduler::begin(const WaitingJob& waiting) {
+void Scheduler::begin(const PendingJob& waiting) {
     Job& job = *waiting.job;
     const auto most = std::min<std::size_t>(quota_left(job), 1);
     if (most == 0 || fill(job, most) > 0) return;
-    keep_machine(job);
+    reserve_machine(job);
 }
 
-void Scheduler::keep_machine(const Job& job) {
+void Scheduler::reserve_machine(const Job& job) {
     std::size_t kept = 0;
     Machine* best = nullptr;
     double best_s = 0;
-    for (auto& [host, machine] : ledger_.machines()) {
-        if (machine.kept_for == job.sequence) return;
-        if (machine.kept_for != 0) {
+    for (auto& [host, machine] : state_.machines()) {
+        if (machine.reserved_for == job.sequence) return;
+        if (machine.reserved_for != 0) {
             ++kept;
             continue;
         }
-        if (port_.now() - machine.kept_since < kKeptMost + kOpenAfter &&
-            machine.kept_since != Instant{})
+        if (context_.now() - machine.reserved_since < kKeptMost + kOpenAfter &&
+            machine.reserved_since != Instant{})
             continue;
         if (!machine.total.holds(job.need()) || !workers_.usable(machine) || !allowed(job, machine))
             continue;
@@ -207,9 +208,9 @@
         best = &machine;
         best_s = until;
     }
-    if (!best || kept * kKeptShare > ledger_.machines().size()) return;
-    best->kept_for = job.sequence;
-    best->kept_since = port_.now();
+    if (!best || kept * kKeptShare > state_.machines().size()) return;
+    best->reserved_for = job.sequence;
+    best->reserved_since = context_.now();
 }
 
 // The preemption list is kept in order of start, the latest first: the first that fits has the
@@ -217,13 +218,14 @@
 void Scheduler::find_victims() {
     victims_.emplace();
     for (auto* machine : full_machines_) {
-        if (workers_.usable(*machine)) add_room(*machine);
+        if (workers_.usable(*machine)) add_capacity(*machine);
     }
-    for (std::size_t i = 0; i < rooms_.size(); ++i) {
+    for (std::size_t i = 0; i < capacities_.size(); ++i) {
         for (auto& [key, placement] : machines_[i]->tasks) {
-            if (waiting_list_.high(*placement.job) || placement.stopping || !placement.committed)
+            if (pending_queue_.is_high_priority(*placement.job) || placement.stopping ||
+                !placement.committed)
                 continue;
-            if (placement.job->tasks[placement.index].shielded) continue;
+            if (placement.job->tasks[placement.index].preemption_protected) continue;
             victims_->push_back({&placement, i});
         }
     }
@@ -234,18 +236,18 @@
 
 // Promises room to tasks that fit nowhere: first what tasks being stopped will leave, then what
 // the first fitting best-effort tasks leave that are stopped for it.
-void Scheduler::make_room(const Job& job, std::size_t tasks) {
+void Scheduler::preempt_for(const Job& job, std::size_t tasks) {
     const bool alone = job.spec.together || job.spec.apart;
-    if (!alone && exhausted_.contains(kind_of(job))) return;
+    if (!alone && exhausted_.contains(shape_of(job))) return;
     const auto need = job.need();
     const auto promise = [&](std::size_t i) {
-        while (tasks > 0 && rooms_[i].later.holds(need)) {
-            rooms_[i].later.subtract(need);
+        while (tasks > 0 && capacities_[i].later.holds(need)) {
+            capacities_[i].later.subtract(need);
             --tasks;
         }
     };
-    const auto promised = promised_fit(
-        rooms_, need, [&](std::size_t i) { return allowed(job, *machines_[i]); },
+    const auto promised = future_fit(
+        capacities_, need, [&](std::size_t i) { return allowed(job, *machines_[i]); },
         [&](std::size_t i) { return earliest_s(*machines_[i]); });
     for (const auto i : promised) promise(i);
     if (tasks == 0) return;
@@ -253,18 +255,18 @@
     for (const auto& [victim, i] : *victims_) {
         if (tasks == 0) return;
         if (victim->stopping || !allowed(job, *machines_[i])) continue;
-        auto later = rooms_[i].later;
+        auto later = capacities_[i].later;
         later.add(victim->job->need());
         if (!later.holds(need)) continue;
         victim->preempted = true;
         const bool saves = victim->job->spec.checkpoint_every_s > 0;
         workers_.stop(*machines_[i], *victim, saves ? victim->job->spec.checkpoint_s + 1 : 0);
-        rooms_[i].later = later;
+        capacities_[i].later = later;
         promise(i);
-        port_.log(sansio::LogLevel::info, "event=preempt victim={} for={} host={}",
-                  victim->ref().str(), job.spec.id.get(), machines_[i]->host.get());
+        context_.log(sansio::LogLevel::info, "event=preempt victim={} for={} host={}",
+                     victim->ref().str(), job.spec.id.get(), machines_[i]->host.get());
     }
-    if (tasks > 0 && !alone) exhausted_.insert(kind_of(job));
+    if (tasks > 0 && !alone) exhausted_.insert(shape_of(job));
 }
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -22,43 +22,43 @@
 
 class Scheduler {
   public:
-    Scheduler(sansio::Port& port, state::Ledger& ledger, workers::Workers& workers,
-              const state::RunTimes& run_times, const config::Config& config);
+    Scheduler(sansio::Context& port, state::ClusterState& ledger, workers::WorkerManager& workers,
+              const state::RunTimeEstimator& run_times, const config::Config& config);
 
     // One pass: places what waits, and stops what must make room. Returns how many jobs waited.
     std::size_t run();
 
   private:
     // What a job asks of a machine: jobs of like tasks that fit nowhere are decided as a class.
-    using Kind = std::tuple<double, double, double, bool, std::optional<std::string>,
-                            std::optional<std::vector<std::string>>>;
+    using TaskShape = std::tuple<double, double, double, bool, std::optional<std::string>,
+                                 std::optional<std::vector<std::string>>>;
 
-    Kind kind_of(const state::Job& job) const;
-    void find_rooms(const std::vector<WaitingJob>& waiting);
-    void add_room(state::Machine& machine);
+    TaskShape shape_of(const state::Job& job) const;
+    void collect_capacities(const std::vector<PendingJob>& waiting);
+    void add_capacity(state::Machine& machine);
     double earliest_s(const state::Machine& machine) const;
     std::size_t quota_left(const state::Job& job) const;
     bool allowed(const state::Job& job, const state::Machine& machine) const;
-    void place(const WaitingJob& waiting);
-    void begin(const WaitingJob& waiting);
-    void keep_machine(const state::Job& job);
+    void place(const PendingJob& waiting);
+    void begin(const PendingJob& waiting);
+    void reserve_machine(const state::Job& job);
     std::size_t fill(state::Job& job, std::size_t most);
-    void make_room(const state::Job& job, std::size_t tasks);
+    void preempt_for(const state::Job& job, std::size_t tasks);
     void find_victims();
 
-    sansio::Port& port_;
-    state::Ledger& ledger_;
-    workers::Workers& workers_;
-    const state::RunTimes& run_times_;
+    sansio::Context& context_;
+    state::ClusterState& state_;
+    workers::WorkerManager& workers_;
+    const state::RunTimeEstimator& run_time_estimator_;
     const config::Config& config_;
-    WaitingList waiting_list_;
+    PendingQueue pending_queue_;
 
     // Of the pass under way.
     std::vector<state::Machine*> machines_;
-    std::vector<Room> rooms_;
+    std::vector<FreeCapacity> capacities_;
     std::vector<state::Machine*> full_machines_;  // without room for any waiting task
-    std::set<Kind> nowhere_;                      // fit no machine now
-    std::set<Kind> exhausted_;                    // nor does stopping others help them
+    std::set<TaskShape> nowhere_;                 // fit no machine now
+    std::set<TaskShape> exhausted_;               // nor does stopping others help them
     struct Victim {
         state::Placement* placement;
         std::size_t room;
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -8,38 +8,39 @@
 
 namespace dunebridge::state {
 
-using kv::kRentals;
+using kv::kScaleOutPrefix;
 
 namespace {
 // Sums of decimals must not leave a remainder that looks like use.
 constexpr double kLeastUse = 1e-9;
 }  // namespace
 
-Ledger::Ledger(sansio::Port& port, kv::Store& store, const coordination::Election& election)
-    : port_(port),
+ClusterState::ClusterState(sansio::Context& port, kv::KvClient& store,
+                           const coordination::Election& election)
+    : context_(port),
       election_(election),
       dependencies_(port, store, jobs_,
                     {[this] { return current(generation_); },
                      [this](Job& job) { cancel_with_dependency(job); }}),
       dirty_(port) {}
 
-bool Ledger::current(std::uint64_t generation) const {
+bool ClusterState::current(std::uint64_t generation) const {
     return generation == generation_ && election_.is_leader() &&
            election_.generation() == generation;
 }
 
-void Ledger::begin() {
+void ClusterState::begin() {
     clear();
     generation_ = election_.generation();
     next_attempt_ = election_.term().get() << kAttemptBits;
 }
 
-void Ledger::clear() {
+void ClusterState::clear() {
     loaded_ = false;
     jobs_.clear();
     machines_.clear();
-    rentals_.clear();
-    open_rentals_.clear();
+    scale_outs_.clear();
+    unanswered_scale_outs_.clear();
     needing_commands_.clear();
     use_.clear();
     dirty_.clear();
@@ -51,7 +52,7 @@
 
 // ---- jobs ----
 
-Job* Ledger::add_job(kv::JobRecord record, KeyRev revision) {
+Job* ClusterState::add_job(kv::JobRecord record, KeyRev revision) {
     const auto [it, added] = jobs_.try_emplace(record.spec.id);
     if (!added) return nullptr;
     auto& job = it->second;
@@ -59,10 +60,10 @@
     job.sequence = ++next_sequence_;
     job.dependency_parts = record.dependency_parts;
     // Time of day may differ between nodes; a job is never from the future.
-    const auto age = std::max<std::int64_t>(0, port_.wall_ms() - record.submitted_ms);
-    job.submitted = job.ready_at = port_.now() - Millis(age);
+    const auto age = std::max<std::int64_t>(0, context_.wall_ms() - record.submitted_ms);
+    job.submitted = job.ready_at = context_.now() - Millis(age);
     job.priority = job.spec.priority;
-    if (job.spec.due_s) job.end_by = job.submitted + from_seconds(*job.spec.due_s);
+    if (job.spec.due_s) job.latest_end = job.submitted + from_seconds(*job.spec.due_s);
     job.tasks.resize(job.spec.task_count);
     job.waiting.resize(job.spec.task_count);
     for (std::uint32_t i = 0; i < job.spec.task_count; ++i)
@@ -72,31 +73,31 @@
 }
 
 // What was recorded of it counts until it is proved gone.
-Job& Ledger::add_ended_job(const JobId& id) {
+Job& ClusterState::add_terminal_job(const JobId& id) {
     auto& job = jobs_[id];
     job.spec.id = id;
     job.spec.task_count = 0;
     job.sequence = ++next_sequence_;
-    job.state = JobState::ended;
-    job.ended_at = port_.now();
+    job.state = JobState::terminal;
+    job.terminal_since = context_.now();
     return job;
 }
 
-Job* Ledger::find_job(const JobId& id) {
+Job* ClusterState::find_job(const JobId& id) {
     const auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void Ledger::mark_cancelled(const JobId& id, std::int64_t at_ms) {
+void ClusterState::mark_cancelled(const JobId& id, std::int64_t at_ms) {
     Job* job = find_job(id);
-    if (!job || job->state == JobState::ended) return;
+    if (!job || job->state == JobState::terminal) return;
     // A done job's end is this leader's own write: the answer to the commit settles it.
-    if (job->state == JobState::ending && committing_) return;
-    job->state = JobState::ended;
-    const auto ago = at_ms > 0 ? std::max<std::int64_t>(0, port_.wall_ms() - at_ms) : 0;
-    job->ended_at = port_.now() - Millis(ago);
+    if (job->state == JobState::finishing && committing_) return;
+    job->state = JobState::terminal;
+    const auto ago = at_ms > 0 ? std::max<std::int64_t>(0, context_.wall_ms() - at_ms) : 0;
+    job->terminal_since = context_.now() - Millis(ago);
     job->waiting.clear();
-    dirty_.erase(kv::end_key(id));
+    dirty_.erase(kv::terminal_key(id));
     for (auto& task : job->tasks) {
         if (!task.at) continue;
         auto& machine = *task.at->machine;
@@ -107,43 +108,43 @@
     }
 }
 
-void Ledger::mark_done(Job& job, std::uint32_t index) {
-    if (index >= job.tasks.size() || job.tasks[index].done || job.state != JobState::open) return;
+void ClusterState::mark_done(Job& job, std::uint32_t index) {
+    if (index >= job.tasks.size() || job.tasks[index].done || job.state != JobState::active) return;
     job.tasks[index].done = true;
     ++job.done;
     // Seldom: most tasks are placed when they are done, and the list may be long.
     if (!job.tasks[index].at) std::erase(job.waiting, index);
-    mark_progress_dirty(job, index, CommitClass::cadence);
-    end_if_done(job);
+    mark_progress_dirty(job, index, CommitUrgency::batched);
+    finish_if_done(job);
 }
 
-void Ledger::end_if_done(Job& job) {
-    if (job.state != JobState::open || job.done != job.spec.task_count) return;
-    job.state = JobState::ending;
-    dirty_.mark(kv::end_key(job.spec.id), CommitClass::end);
+void ClusterState::finish_if_done(Job& job) {
+    if (job.state != JobState::active || job.done != job.spec.task_count) return;
+    job.state = JobState::finishing;
+    dirty_.mark(kv::terminal_key(job.spec.id), CommitUrgency::terminal);
 }
 
 // A job that it depends on is cancelled: it has begun nothing, and ends with it.
-void Ledger::cancel_with_dependency(Job& job) {
-    job.state = JobState::ending;
-    job.cancelled_with_dependency = true;
+void ClusterState::cancel_with_dependency(Job& job) {
+    job.state = JobState::finishing;
+    job.cancelled_by_dependency = true;
     job.waiting.clear();
-    dirty_.mark(kv::end_key(job.spec.id), CommitClass::end);
-    port_.log(sansio::LogLevel::info, "event=cancelled_with_dependency id={} term={}",
-              job.spec.id.get(), election_.term().get());
+    dirty_.mark(kv::terminal_key(job.spec.id), CommitUrgency::terminal);
+    context_.log(sansio::LogLevel::info, "event=cancelled_with_dependency id={} term={}",
+                 job.spec.id.get(), election_.term().get());
 }
 
-void Ledger::mark_shielded(Job& job, std::uint32_t index) {
-    if (index >= job.tasks.size() || job.tasks[index].shielded) return;
-    job.tasks[index].shielded = true;
-    mark_progress_dirty(job, index, CommitClass::cadence);
+void ClusterState::mark_preemption_protected(Job& job, std::uint32_t index) {
+    if (index >= job.tasks.size() || job.tasks[index].preemption_protected) return;
+    job.tasks[index].preemption_protected = true;
+    mark_progress_dirty(job, index, CommitUrgency::batched);
 }
 
-void Ledger::forget_ended_jobs() {
+void ClusterState::forget_terminal_jobs() {
     for (auto it = jobs_.begin(); it != jobs_.end();) {
         auto& job = it->second;
-        if (job.state != JobState::ended || job.placed > 0 ||
-            job.parts_read < job.dependency_parts || dirty_.find(kv::end_key(it->first))) {
+        if (job.state != JobState::terminal || job.placed > 0 ||
+            job.parts_read < job.dependency_parts || dirty_.find(kv::terminal_key(it->first))) {
             ++it;
             continue;
         }
@@ -155,29 +156,29 @@
         for (const auto& range : ranges) {
             // Its first write may be under way.
             if (stored_.contains(range.key) || committing_) {
-                dirty_.mark(range.key, CommitClass::cadence);
+                dirty_.mark(range.key, CommitUrgency::batched);
             } else {
                 dirty_.erase(range.key);
             }
         }
         for (std::uint64_t part = 0; part < dependency_parts; ++part) {
-            dirty_.mark(kv::dependency_key(id, part), CommitClass::cadence);
+            dirty_.mark(kv::dependency_key(id, part), CommitUrgency::batched);
         }
-        dirty_.mark(kv::job_key(id), CommitClass::cadence);
+        dirty_.mark(kv::job_key(id), CommitUrgency::batched);
     }
 }
 
 // ---- machines ----
 
-Machine& Ledger::create_machine(const HostName& host) {
+Machine& ClusterState::create_machine(const HostName& host) {
     auto& machine = machines_[host];
     machine.host = host;
-    machine.worker.known_since = machine.cloud.rented_at = machine.idle_since = port_.now();
+    machine.worker.known_since = machine.cloud.provisioned_at = machine.idle_since = context_.now();
     return machine;
 }
 
-Machine& Ledger::add_machine(const HostName& host, const std::string& machine_type,
-                             const std::string& zone, bool spot) {
+Machine& ClusterState::add_machine(const HostName& host, const std::string& machine_type,
+                                   const std::string& zone, bool spot) {
     if (auto* known = find_machine(host)) {
         describe(*known, machine_type, zone, spot);
         return *known;
@@ -185,13 +186,13 @@
     auto& machine = create_machine(host);
     describe(machine, machine_type, zone, spot);
     machine.rental = "x-" + host.get();
-    rentals_[machine.rental] = {{machine.rental, machine_type, zone, spot, 1}, true, {host}};
-    dirty_.mark(kRentals + machine.rental, CommitClass::cadence);
+    scale_outs_[machine.rental] = {{machine.rental, machine_type, zone, spot, 1}, true, {host}};
+    dirty_.mark(kScaleOutPrefix + machine.rental, CommitUrgency::batched);
     return machine;
 }
 
-void Ledger::describe(Machine& machine, const std::string& machine_type, const std::string& zone,
-                      bool spot) {
+void ClusterState::describe(Machine& machine, const std::string& machine_type,
+                            const std::string& zone, bool spot) {
     if (machine.machine_type != machine_type) machine.total = {};
     machine.machine_type = machine_type;
     machine.spot = spot;
@@ -204,32 +205,32 @@
     machine.zone = zone;
 }
 
-Machine* Ledger::find_machine(const HostName& host) {
+Machine* ClusterState::find_machine(const HostName& host) {
     const auto it = machines_.find(host);
     return it == machines_.end() ? nullptr : &it->second;
 }
 
-void Ledger::request_commands(Machine& machine) {
+void ClusterState::request_commands(Machine& machine) {
     if (machine.worker.needs_commands) return;
     machine.worker.needs_commands = true;
     needing_commands_.push_back(&machine);
 }
 
-std::vector<Machine*> Ledger::take_machines_needing_commands() {
+std::vector<Machine*> ClusterState::take_machines_needing_commands() {
     return std::exchange(needing_commands_, {});
 }
 
-void Ledger::leave_rental(const Machine& machine) {
-    const auto it = rentals_.find(machine.rental);
-    if (it == rentals_.end()) return;
+void ClusterState::detach_from_scale_out(const Machine& machine) {
+    const auto it = scale_outs_.find(machine.rental);
+    if (it == scale_outs_.end()) return;
     it->second.hosts.erase(machine.host);
-    dirty_.mark(kRentals + machine.rental, CommitClass::cadence);
-    if (it->second.hosts.empty()) rentals_.erase(it);
+    dirty_.mark(kScaleOutPrefix + machine.rental, CommitUrgency::batched);
+    if (it->second.hosts.empty()) scale_outs_.erase(it);
 }
 
-void Ledger::drop_machine(Machine& machine) {
+void ClusterState::drop_machine(Machine& machine) {
     while (!machine.tasks.empty()) remove(machine, machine.tasks.begin()->first);
-    leave_rental(machine);
+    detach_from_scale_out(machine);
     std::erase(needing_commands_, &machine);
     const auto host = machine.host;
     machines_.erase(host);
@@ -237,7 +238,7 @@
 
 // ---- placements ----
 
-void Ledger::attach(Machine& machine, Job& job, std::uint32_t index, Placement placement) {
+void ClusterState::attach(Machine& machine, Job& job, std::uint32_t index, Placement placement) {
     placement.job = &job;
     placement.machine = &machine;
     placement.index = index;
@@ -250,42 +251,43 @@
     auto& use = use_[job.spec.team];
     use.cpus += job.spec.cores;
     use.gpus += job.spec.accelerators;
-    machine.idle_since = port_.now();
+    machine.idle_since = context_.now();
 }
 
-void Ledger::mark_progress_dirty(const Job& job, std::uint32_t index, CommitClass commit_class) {
-    dirty_.mark(progress_key(job, index), commit_class);
+void ClusterState::mark_progress_dirty(const Job& job, std::uint32_t index, CommitUrgency urgency) {
+    dirty_.mark(progress_key(job, index), urgency);
 }
 
-void Ledger::place(Job& job, Machine& machine) {
+void ClusterState::place(Job& job, Machine& machine) {
     const auto index = job.waiting.back();
     job.waiting.pop_back();
     Placement p;
     p.attempt = Attempt(++next_attempt_);
-    p.placed_at = port_.now();
+    p.placed_at = context_.now();
     attach(machine, job, index, p);
-    mark_progress_dirty(job, index, CommitClass::urgent);
+    mark_progress_dirty(job, index, CommitUrgency::prompt);
 }
 
-void Ledger::restore_placement(Job& job, std::uint32_t index, Machine& machine, Attempt attempt) {
+void ClusterState::restore_placement(Job& job, std::uint32_t index, Machine& machine,
+                                     Attempt attempt) {
     Placement p;
     p.attempt = attempt;
     p.committed = true;
-    p.sent = StartDelivery::settled;
-    p.placed_at = port_.now();
+    p.sent = StartDelivery::awaiting_confirmation;
+    p.placed_at = context_.now();
     attach(machine, job, index, p);
 }
 
-void Ledger::remove(Machine& machine, PlacementKey key) {
+void ClusterState::remove(Machine& machine, PlacementKey key) {
     const auto it = machine.tasks.find(key);
     if (it == machine.tasks.end()) return;
     set_running(it->second, false);
     auto& job = *it->second.job;
     const auto index = it->second.index;
-    if (it->second.stopping) machine.leaving.subtract(job.need());
+    if (it->second.stopping) machine.releasing.subtract(job.need());
     machine.used.subtract(job.need());
     machine.tasks.erase(it);
-    if (machine.tasks.empty()) machine.used = machine.leaving = {};
+    if (machine.tasks.empty()) machine.used = machine.releasing = {};
     auto& task = job.tasks[index];
     task.at = nullptr;
     --job.placed;
@@ -295,74 +297,74 @@
     use.gpus -= job.spec.accelerators;
     if (use.cpus < kLeastUse) use.cpus = 0;
     if (use.gpus < kLeastUse) use.gpus = 0;
-    if (job.state == JobState::open && !task.done) job.waiting.push_back(index);
-    machine.idle_since = port_.now();
-    mark_progress_dirty(job, index, CommitClass::cadence);
+    if (job.state == JobState::active && !task.done) job.waiting.push_back(index);
+    machine.idle_since = context_.now();
+    mark_progress_dirty(job, index, CommitUrgency::batched);
 }
 
-void Ledger::set_stopping(Placement& p) {
+void ClusterState::set_stopping(Placement& p) {
     if (p.stopping) return;
     p.stopping = true;
-    p.machine->leaving.add(p.job->need());
+    p.machine->releasing.add(p.job->need());
 }
 
-void Ledger::set_running(Placement& p, bool running) {
+void ClusterState::set_running(Placement& p, bool running) {
     const bool was = p.running_since != Instant{};
     if (was == running) return;
-    p.running_since = running ? port_.now() : Instant{};
+    p.running_since = running ? context_.now() : Instant{};
     running ? ++p.job->running : --p.job->running;
 }
 
 // ---- rentals ----
 
-void Ledger::add_rental(const wire::RentalRequest& request) {
-    rentals_[request.idempotency_key].request = request;
-    open_rentals_.insert(request.idempotency_key);
-    dirty_.mark(kRentals + request.idempotency_key, CommitClass::urgent);
+void ClusterState::add_scale_out(const wire::ScaleOutRequest& request) {
+    scale_outs_[request.idempotency_key].request = request;
+    unanswered_scale_outs_.insert(request.idempotency_key);
+    dirty_.mark(kScaleOutPrefix + request.idempotency_key, CommitUrgency::prompt);
 }
 
-void Ledger::restore_rental(RentalRecord rental) {
+void ClusterState::restore_scale_out(ScaleOutRecord rental) {
     const auto key = rental.request.idempotency_key;
-    if (!rental.answered) open_rentals_.insert(key);
+    if (!rental.answered) unanswered_scale_outs_.insert(key);
     for (const auto& host : rental.hosts) {
         auto& machine = create_machine(host);
         describe(machine, rental.request.machine_type, rental.request.zone, rental.request.spot);
         machine.rental = key;
     }
-    rentals_.emplace(key, std::move(rental));
+    scale_outs_.emplace(key, std::move(rental));
 }
 
-void Ledger::rental_answered(const std::string& idempotency_key,
-                             const std::vector<HostName>& hosts) {
-    const auto it = rentals_.find(idempotency_key);
-    if (it == rentals_.end()) return;
-    open_rentals_.erase(idempotency_key);
+void ClusterState::scale_out_answered(const std::string& idempotency_key,
+                                      const std::vector<HostName>& hosts) {
+    const auto it = scale_outs_.find(idempotency_key);
+    if (it == scale_outs_.end()) return;
+    unanswered_scale_outs_.erase(idempotency_key);
     auto& rental = it->second;
     rental.answered = true;
     for (const auto& host : hosts) {
         auto* known = find_machine(host);
         // It may have reported before the rental was answered.
-        if (known) leave_rental(*known);
+        if (known) detach_from_scale_out(*known);
         auto& machine = known ? *known : create_machine(host);
         describe(machine, rental.request.machine_type, rental.request.zone, rental.request.spot);
         machine.rental = idempotency_key;
         rental.hosts.insert(host);
     }
-    dirty_.mark(kRentals + idempotency_key, CommitClass::cadence);
-    if (rental.hosts.empty()) rentals_.erase(it);
+    dirty_.mark(kScaleOutPrefix + idempotency_key, CommitUrgency::batched);
+    if (rental.hosts.empty()) scale_outs_.erase(it);
 }
 
-bool Ledger::rental_committed(const std::string& idempotency_key) const {
-    return stored_.contains(kRentals + idempotency_key);
+bool ClusterState::scale_out_committed(const std::string& idempotency_key) const {
+    return stored_.contains(kScaleOutPrefix + idempotency_key);
 }
 
 // ---- records ----
 
-void Ledger::use_format(std::uint64_t format) {
+void ClusterState::adopt_format(std::uint64_t format) {
     if (format <= format_ || !loaded_) return;
     format_ = format;
-    port_.log(sansio::LogLevel::info, "event=format version={}", format);
-    dirty_.mark(kv::kFormatMark, CommitClass::end);
+    context_.log(sansio::LogLevel::info, "event=format version={}", format);
+    dirty_.mark(kv::kFormatMark, CommitUrgency::terminal);
 }
 
 }  // namespace dunebridge::state
--- a/src/state/cluster_state.hpp
+++ b/src/state/cluster_state.hpp
@@ -1,8 +1,8 @@
 // The ledger: which tasks are on which machines, what is done, and which rentals are under way.
 //
 // Only the leader has one. This is the model in memory, with its invariants: every change marks the
-// records that it concerns as dirty. LedgerLoader reads it from the state service when a term
-// begins, LedgerCommitter writes what is dirty. A placement may be acted on only once it is
+// records that it concerns as dirty. ClusterStateLoader reads it from the state service when a term
+// begins, ClusterStateWriter writes what is dirty. A placement may be acted on only once it is
 // `committed`.
 //
 // Placements are recorded per job and range of its tasks, machines per rental, so that the number
@@ -30,9 +30,10 @@
 
 namespace dunebridge::state {
 
-class Ledger {
+class ClusterState {
   public:
-    Ledger(sansio::Port& port, kv::Store& store, const coordination::Election& election);
+    ClusterState(sansio::Context& port, kv::KvClient& store,
+                 const coordination::Election& election);
 
     // ---- the term that it is for ----
 
@@ -53,7 +54,7 @@
     // From its record at that revision; null if the job is known already.
     Job* add_job(kv::JobRecord record, KeyRev revision);
     // A job of which only progress is left on record: it is over.
-    Job& add_ended_job(const JobId& id);
+    Job& add_terminal_job(const JobId& id);
     void mark_cancelled(const JobId& id, std::int64_t at_ms);
     // The end is committed, and is this one: the jobs that wait for it go on, or end with it.
     void ended(const JobId& id, wire::JobPhase how) { dependencies_.ended(id, how); }
@@ -61,11 +62,11 @@
     std::map<JobId, Job>& jobs() { return jobs_; }
     DependencyGraph& dependencies() { return dependencies_; }
     void mark_done(Job& job, std::uint32_t index);
-    void mark_shielded(Job& job, std::uint32_t index);
+    void mark_preemption_protected(Job& job, std::uint32_t index);
     // Ends the job if all of its tasks are done.
-    void end_if_done(Job& job);
+    void finish_if_done(Job& job);
     // Forgets ended jobs that have left no trace on any machine.
-    void forget_ended_jobs();
+    void forget_terminal_jobs();
 
     // ---- machines ----
 
@@ -95,18 +96,18 @@
     void set_running(Placement& placement, bool running);
     // The placement is to be stopped: what it takes will be free.
     void set_stopping(Placement& placement);
-    const TeamUse& use(const std::string& team) { return use_[team]; }
+    const TeamUsage& use(const std::string& team) { return use_[team]; }
 
     // ---- rentals ----
 
-    void add_rental(const wire::RentalRequest& request);
-    void restore_rental(RentalRecord rental);
+    void add_scale_out(const wire::ScaleOutRequest& request);
+    void restore_scale_out(ScaleOutRecord rental);
     // The cloud's answer: the machines that the request has brought. Without any it is over.
-    void rental_answered(const std::string& idempotency_key, const std::vector<HostName>& hosts);
-    const std::map<std::string, RentalRecord>& rentals() const { return rentals_; }
+    void scale_out_answered(const std::string& idempotency_key, const std::vector<HostName>& hosts);
+    const std::map<std::string, ScaleOutRecord>& rentals() const { return scale_outs_; }
     // Idempotency keys of the requests that the cloud has not answered yet.
-    const std::set<std::string>& open_rentals() const { return open_rentals_; }
-    bool rental_committed(const std::string& idempotency_key) const;
+    const std::set<std::string>& unanswered_scale_outs() const { return unanswered_scale_outs_; }
+    bool scale_out_committed(const std::string& idempotency_key) const;
 
     // ---- records ----
 
@@ -115,7 +116,7 @@
     // The format that a record says is in force.
     void restore_format(std::uint64_t format) { format_ = format; }
     // Every controller knows the format: it may be written from now on, for good.
-    void use_format(std::uint64_t format);
+    void adopt_format(std::uint64_t format);
     Version version() const { return dirty_.version(); }
     // The record's changes up to this version are in the state service.
     bool committed(const std::string& key, Version version) const {
@@ -128,12 +129,12 @@
     void set_committing(bool committing) { committing_ = committing; }
 
   private:
-    void mark_progress_dirty(const Job& job, std::uint32_t index, CommitClass commit_class);
+    void mark_progress_dirty(const Job& job, std::uint32_t index, CommitUrgency urgency);
     void attach(Machine& machine, Job& job, std::uint32_t index, Placement placement);
-    void leave_rental(const Machine& machine);
+    void detach_from_scale_out(const Machine& machine);
     void cancel_with_dependency(Job& job);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     const coordination::Election& election_;
 
     bool loaded_ = false;
@@ -143,10 +144,10 @@
     std::map<JobId, Job> jobs_;
     std::map<HostName, Machine> machines_;
     DependencyGraph dependencies_;
-    std::map<std::string, RentalRecord> rentals_;
-    std::set<std::string> open_rentals_;
+    std::map<std::string, ScaleOutRecord> scale_outs_;
+    std::set<std::string> unanswered_scale_outs_;
     std::vector<Machine*> needing_commands_;
-    std::unordered_map<std::string, TeamUse> use_;
+    std::unordered_map<std::string, TeamUsage> use_;
 
     DirtyRecords dirty_;
     StoredRecords stored_;
