--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -12,11 +12,11 @@
 
 namespace dunebridge::state {
 
-using kv::kDependencies;
-using kv::kEnds;
-using kv::kJobs;
-using kv::kProgress;
-using kv::kRentals;
+using kv::kDependencyPrefix;
+using kv::kJobPrefix;
+using kv::kProgressPrefix;
+using kv::kScaleOutPrefix;
+using kv::kTerminalPrefix;
 using kv::Outcome;
 using kv::without_prefix;
 
@@ -32,64 +32,65 @@
 constexpr Millis kStandAside{20000};
 }  // namespace
 
-LedgerLoader::LedgerLoader(sansio::Port& port, kv::Store& store, coordination::Election& election,
-                           Ledger& ledger, const config::Config& config)
-    : port_(port), store_(store), election_(election), ledger_(ledger), config_(config) {}
+ClusterStateLoader::ClusterStateLoader(sansio::Context& port, kv::KvClient& store,
+                                       coordination::Election& election, ClusterState& ledger,
+                                       const config::Config& config)
+    : context_(port), kv_client_(store), election_(election), state_(ledger), config_(config) {}
 
-void LedgerLoader::load() {
-    ledger_.begin();
-    ends_read_at_ = port_.now();
-    load_next(0, ledger_.generation());
+void ClusterStateLoader::load() {
+    state_.begin();
+    ends_read_at_ = context_.now();
+    load_next(0, state_.generation());
 }
 
-void LedgerLoader::load_next(std::size_t step, std::uint64_t generation) {
+void ClusterStateLoader::load_next(std::size_t step, std::uint64_t generation) {
     struct Step {
         const char* prefix;
-        void (LedgerLoader::*take)(const kv::ListResult&);
+        void (ClusterStateLoader::*take)(const kv::ListResult&);
     };
-    static constexpr Step steps[] = {{kJobs, &LedgerLoader::load_jobs},
-                                     {kDependencies, &LedgerLoader::load_dependencies},
-                                     {kRentals, &LedgerLoader::load_rentals},
-                                     {kProgress, &LedgerLoader::load_progress}};
+    static constexpr Step steps[] = {{kJobPrefix, &ClusterStateLoader::load_jobs},
+                                     {kDependencyPrefix, &ClusterStateLoader::load_dependencies},
+                                     {kScaleOutPrefix, &ClusterStateLoader::load_rentals},
+                                     {kProgressPrefix, &ClusterStateLoader::load_progress}};
     if (step == std::size(steps)) {
         std::vector<JobId> ids;
-        ids.reserve(ledger_.jobs().size());
-        for (const auto& [id, job] : ledger_.jobs()) ids.push_back(id);
+        ids.reserve(state_.jobs().size());
+        for (const auto& [id, job] : state_.jobs()) ids.push_back(id);
         check_ends(std::move(ids), generation);
         return;
     }
-    store_.list(steps[step].prefix, [this, step, generation](const kv::ListResult& result) {
-        if (!ledger_.current(generation)) return;
+    kv_client_.list(steps[step].prefix, [this, step, generation](const kv::ListResult& result) {
+        if (!state_.current(generation)) return;
         if (!result.answered) {
             try_again([this, step, generation] { load_next(step, generation); });
             return;
         }
         if (step == 0) load_revision_ = result.rev;
         (this->*steps[step].take)(result);
-        if (ledger_.current(generation)) load_next(step + 1, generation);
+        if (state_.current(generation)) load_next(step + 1, generation);
     });
 }
 
 // A read that the service refused, as it is over its rate or slow, is made again: a new term would
 // only begin the whole load anew, and with it as many reads. Whether this node still leads is known
 // apart from that.
-void LedgerLoader::try_again(std::function<void()> read) {
-    port_.after(kLoadRetry + port_.jitter(kLoadRetry),
-                [this, read = std::move(read), generation = ledger_.generation()] {
-                    if (ledger_.current(generation)) read();
-                });
+void ClusterStateLoader::try_again(std::function<void()> read) {
+    context_.after(kLoadRetry + context_.jitter(kLoadRetry),
+                   [this, read = std::move(read), generation = state_.generation()] {
+                       if (state_.current(generation)) read();
+                   });
 }
 
 // A record that cannot be read stops the load: going on without it would lose a job or a task. A
 // node that knows the format may lead meanwhile.
-void LedgerLoader::bad_record(const std::string& key, const std::string& error) {
-    port_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"", key, error);
+void ClusterStateLoader::bad_record(const std::string& key, const std::string& error) {
+    context_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"", key, error);
     election_.resign(kStandAside);
 }
 
 // False if a record could not be read; the load has then been given up.
-bool LedgerLoader::take_rows(const kv::ListResult& result,
-                             const std::function<void(const kv::Row&)>& take) {
+bool ClusterStateLoader::take_rows(const kv::ListResult& result,
+                                   const std::function<void(const kv::Row&)>& take) {
     const kv::Row* current = nullptr;
     try {
         for (const auto& row : result.rows) {
@@ -103,51 +104,51 @@
     return true;
 }
 
-void LedgerLoader::load_jobs(const kv::ListResult& result) {
+void ClusterStateLoader::load_jobs(const kv::ListResult& result) {
     take_rows(result, [this](const kv::Row& row) {
-        ledger_.add_job(kv::decode_job_record(row.value), row.rev);
+        state_.add_job(kv::decode_job_record(row.value), row.rev);
     });
 }
 
 // Parts of a job that was created after the jobs were read come with the watch.
-void LedgerLoader::load_dependencies(const kv::ListResult& result) {
+void ClusterStateLoader::load_dependencies(const kv::ListResult& result) {
     take_rows(result, [this](const kv::Row& row) {
-        const auto name = without_prefix(row.key, kDependencies);
-        auto* job = ledger_.find_job(JobId(name.substr(0, name.rfind('/'))));
+        const auto name = without_prefix(row.key, kDependencyPrefix);
+        auto* job = state_.find_job(JobId(name.substr(0, name.rfind('/'))));
         if (job) take_dependency_part(*job, row);
     });
 }
 
-void LedgerLoader::load_rentals(const kv::ListResult& result) {
+void ClusterStateLoader::load_rentals(const kv::ListResult& result) {
     take_rows(result, [this](const kv::Row& row) {
         if (row.key == kv::kFormatMark && config_.format >= config::kRangeFormat) {
-            ledger_.restore_format(decode_format_mark(row.value, config_.format));
+            state_.restore_format(decode_format_mark(row.value, config_.format));
         } else {
-            ledger_.restore_rental(decode_rental_record(row.value));
+            state_.restore_scale_out(decode_scale_out_record(row.value));
         }
-        ledger_.stored().set(row.key, row.rev);
+        state_.stored().set(row.key, row.rev);
     });
 }
 
-void LedgerLoader::load_progress(const kv::ListResult& result) {
+void ClusterStateLoader::load_progress(const kv::ListResult& result) {
     if (!take_rows(result, [this](const kv::Row& row) { load_progress_record(row); })) return;
-    for (auto& [id, job] : ledger_.jobs()) {
-        complete_ranges(job, ledger_.format());
+    for (auto& [id, job] : state_.jobs()) {
+        complete_ranges(job, state_.format());
         std::erase_if(job.waiting, [&, &tasks = job.tasks](std::uint32_t i) {
             return tasks[i].done || tasks[i].at != nullptr;
         });
         job.done = static_cast<std::uint32_t>(std::count_if(job.tasks.begin(), job.tasks.end(),
                                                             [](const Task& t) { return t.done; }));
-        ledger_.end_if_done(job);
+        state_.finish_if_done(job);
     }
 }
 
-void LedgerLoader::load_progress_record(const kv::Row& row) {
+void ClusterStateLoader::load_progress_record(const kv::Row& row) {
     const auto record = decode_progress(row, config_.format);
-    ledger_.stored().set(row.key, row.rev);
+    state_.stored().set(row.key, row.rev);
     // Where the job is over and its record gone, what was recorded counts until proved gone.
-    auto* known = ledger_.find_job(record.job);
-    auto& job = known ? *known : ledger_.add_ended_job(record.job);
+    auto* known = state_.find_job(record.job);
+    auto& job = known ? *known : state_.add_terminal_job(record.job);
     const auto end = record.from + record.size;
     if (job.spec.task_count == 0 && job.tasks.size() < end) job.tasks.resize(end);
     const auto size = static_cast<std::uint32_t>(job.tasks.size());
@@ -156,31 +157,32 @@
     for (const auto index : record.done) {
         if (index < size) job.tasks[index].done = true;
     }
-    for (const auto index : record.shielded) {
-        if (index < size) job.tasks[index].shielded = true;
+    for (const auto index : record.preemption_protected) {
+        if (index < size) job.tasks[index].preemption_protected = true;
     }
     for (const auto& placed : record.placed) {
         if (placed.index >= size) throw wire::DecodeError("index");
         // Where no rental names the machine any more, it counts all the same, until proved gone.
-        auto* machine = ledger_.find_machine(placed.host);
-        if (!machine) machine = &ledger_.create_machine(placed.host);
-        ledger_.restore_placement(job, placed.index, *machine, placed.attempt);
+        auto* machine = state_.find_machine(placed.host);
+        if (!machine) machine = &state_.create_machine(placed.host);
+        state_.restore_placement(job, placed.index, *machine, placed.attempt);
     }
 }
 
 // Which of the open jobs have ended: compare-only transactions that name those with an end.
-void LedgerLoader::check_ends(std::vector<JobId> ids, std::uint64_t generation) {
+void ClusterStateLoader::check_ends(std::vector<JobId> ids, std::uint64_t generation) {
     if (ids.empty()) {
         finish(generation);
         return;
     }
-    const auto n = std::min(ids.size(), store_.max_preconditions() / 2);
+    const auto n = std::min(ids.size(), kv_client_.max_preconditions() / 2);
     std::vector<wire::Precondition> preconditions;
-    for (std::size_t i = 0; i < n; ++i) preconditions.push_back({kv::end_key(ids[i]), KeyRev()});
-    store_.transact(
+    for (std::size_t i = 0; i < n; ++i)
+        preconditions.push_back({kv::terminal_key(ids[i]), KeyRev()});
+    kv_client_.transact(
         preconditions, {}, kCheckTimeout,
         [this, ids = std::move(ids), n, generation](const kv::TransactionResult& result) mutable {
-            if (!ledger_.current(generation)) return;
+            if (!state_.current(generation)) return;
             if (result.outcome == Outcome::ok) {
                 ids.erase(ids.begin(), ids.begin() + static_cast<std::ptrdiff_t>(n));
                 check_ends(std::move(ids), generation);
@@ -193,111 +195,113 @@
                 return;
             }
             for (const auto& key : result.failed) {
-                const JobId id(without_prefix(key, kEnds));
-                ledger_.mark_cancelled(id, port_.wall_ms());
+                const JobId id(without_prefix(key, kTerminalPrefix));
+                state_.mark_cancelled(id, context_.wall_ms());
                 std::erase(ids, id);
             }
             check_ends(std::move(ids), generation);
         });
 }
 
-void LedgerLoader::finish(std::uint64_t generation) {
-    ledger_.set_loaded();
+void ClusterStateLoader::finish(std::uint64_t generation) {
+    state_.set_loaded();
     link_dependencies();
-    port_.log(sansio::LogLevel::info,
-              "event=ledger_loaded term={} jobs={} machines={} open_rentals={}",
-              election_.term().get(), ledger_.jobs().size(), ledger_.machines().size(),
-              ledger_.open_rentals().size());
-    watch(kJobs, load_revision_, generation);
-    watch(kEnds, load_revision_, generation);
+    context_.log(sansio::LogLevel::info,
+                 "event=ledger_loaded term={} jobs={} machines={} open_rentals={}",
+                 election_.term().get(), state_.jobs().size(), state_.machines().size(),
+                 state_.unanswered_scale_outs().size());
+    watch(kJobPrefix, load_revision_, generation);
+    watch(kTerminalPrefix, load_revision_, generation);
 }
 
 // A job whose parts are not all there may have ended meanwhile; else it must not start.
-void LedgerLoader::link_dependencies() {
-    for (auto& [id, job] : ledger_.jobs()) {
-        if (job.state == JobState::open && job.parts_read < job.dependency_parts) {
+void ClusterStateLoader::link_dependencies() {
+    for (auto& [id, job] : state_.jobs()) {
+        if (job.state == JobState::active && job.parts_read < job.dependency_parts) {
             bad_record(kv::dependency_prefix(id), "parts are missing");
             return;
         }
-        ledger_.dependencies().add(job);
+        state_.dependencies().add(job);
     }
 }
 
 // ---- what others write ----
 
-void LedgerLoader::watch(const char* prefix, KeyRev from, std::uint64_t generation) {
-    // What is known of the ends must never be old (Core::may_renew_leases).
-    const bool ends = prefix == std::string_view(kEnds);
+void ClusterStateLoader::watch(const char* prefix, KeyRev from, std::uint64_t generation) {
+    // What is known of the ends must never be old (Controller::may_renew_leases).
+    const bool ends = prefix == std::string_view(kTerminalPrefix);
     const auto wait =
-        ends ? std::clamp(config_.max_unsure() / 4, kLeastWait, kWatchWait) : kWatchWait;
-    store_.watch(
-        prefix, from, wait,
-        [this, prefix, from, generation, ends, asked = port_.now()](const kv::WatchResult& result) {
-            if (!ledger_.current(generation)) return;
-            if (result.kind == kv::WatchResult::Kind::too_old) {
-                election_.renew_term();
-                return;
-            }
-            const bool failed = result.kind == kv::WatchResult::Kind::failed;
-            for (const auto& change : result.changes) apply_change(change);
-            if (ends && !failed) ends_read_at_ = std::max(ends_read_at_, asked);
-            port_.after(failed ? kWatchRetry : kWatchPause,
-                        [this, prefix, generation, next = failed ? from : result.rev] {
-                            if (ledger_.current(generation)) {
-                                watch(prefix, next, generation);
-                            }
-                        });
-        });
+        ends ? std::clamp(config_.max_cancellation_staleness() / 4, kLeastWait, kWatchWait)
+             : kWatchWait;
+    kv_client_.watch(prefix, from, wait,
+                     [this, prefix, from, generation, ends,
+                      asked = context_.now()](const kv::WatchResult& result) {
+                         if (!state_.current(generation)) return;
+                         if (result.kind == kv::WatchResult::Kind::too_old) {
+                             election_.renew_term();
+                             return;
+                         }
+                         const bool failed = result.kind == kv::WatchResult::Kind::failed;
+                         for (const auto& change : result.changes) apply_change(change);
+                         if (ends && !failed) ends_read_at_ = std::max(ends_read_at_, asked);
+                         context_.after(
+                             failed ? kWatchRetry : kWatchPause,
+                             [this, prefix, generation, next = failed ? from : result.rev] {
+                                 if (state_.current(generation)) {
+                                     watch(prefix, next, generation);
+                                 }
+                             });
+                     });
 }
 
-void LedgerLoader::apply_change(const kv::Change& change) {
+void ClusterStateLoader::apply_change(const kv::Change& change) {
     if (change.removed) return;
-    if (change.key.starts_with(kJobs)) {
+    if (change.key.starts_with(kJobPrefix)) {
         add_new_job(change);
-    } else if (change.key.starts_with(kEnds)) {
-        const JobId id(without_prefix(change.key, kEnds));
-        const auto end = kv::decode_end(change.value);
-        ledger_.mark_cancelled(id, end.at_ms);
-        ledger_.ended(id, end.phase);
+    } else if (change.key.starts_with(kTerminalPrefix)) {
+        const JobId id(without_prefix(change.key, kTerminalPrefix));
+        const auto end = kv::decode_terminal_record(change.value);
+        state_.mark_cancelled(id, end.at_ms);
+        state_.ended(id, end.phase);
     }
 }
 
-void LedgerLoader::add_new_job(const kv::Change& change) {
+void ClusterStateLoader::add_new_job(const kv::Change& change) {
     Job* job = nullptr;
     try {
-        job = ledger_.add_job(kv::decode_job_record(change.value), change.rev);
+        job = state_.add_job(kv::decode_job_record(change.value), change.rev);
     } catch (const wire::DecodeError& e) {
-        port_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"", change.key,
-                  e.what());
+        context_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"", change.key,
+                     e.what());
         return;
     }
     if (!job) return;
-    complete_ranges(*job, ledger_.format());
+    complete_ranges(*job, state_.format());
     if (job->dependency_parts > 0) {
-        read_dependencies(job->spec.id, ledger_.generation());
+        read_dependencies(job->spec.id, state_.generation());
     } else {
-        ledger_.dependencies().add(*job);
+        state_.dependencies().add(*job);
     }
 }
 
-void LedgerLoader::take_dependency_part(Job& job, const kv::Row& row) {
+void ClusterStateLoader::take_dependency_part(Job& job, const kv::Row& row) {
     const auto part = kv::decode_dependency_part(row.value);
     ++job.parts_read;
-    ledger_.stored().set(row.key, row.rev);
+    state_.stored().set(row.key, row.rev);
     if (!part.direct) return;
     auto& direct = job.spec.waits_on;
     direct.insert(direct.end(), part.jobs.begin(), part.jobs.end());
 }
 
 // They were created with the job's record.
-void LedgerLoader::read_dependencies(const JobId& id, std::uint64_t generation) {
-    store_.list(kv::dependency_prefix(id), [this, id, generation](const kv::ListResult& parts) {
-        if (!ledger_.current(generation)) return;
-        auto* job = ledger_.find_job(id);
+void ClusterStateLoader::read_dependencies(const JobId& id, std::uint64_t generation) {
+    kv_client_.list(kv::dependency_prefix(id), [this, id, generation](const kv::ListResult& parts) {
+        if (!state_.current(generation)) return;
+        auto* job = state_.find_job(id);
         if (!job) return;
         if (!parts.answered || parts.rows.size() != job->dependency_parts) {
-            port_.after(kReadAgain, [this, id, generation] {
-                if (ledger_.current(generation)) read_dependencies(id, generation);
+            context_.after(kReadAgain, [this, id, generation] {
+                if (state_.current(generation)) read_dependencies(id, generation);
             });
             return;
         }
@@ -307,7 +311,7 @@
             bad_record(kv::dependency_prefix(id), e.what());
             return;
         }
-        ledger_.dependencies().add(*job);
+        state_.dependencies().add(*job);
     });
 }
 
--- a/src/state/cluster_state_loader.hpp
+++ b/src/state/cluster_state_loader.hpp
@@ -17,10 +17,10 @@
 
 namespace dunebridge::state {
 
-class LedgerLoader {
+class ClusterStateLoader {
   public:
-    LedgerLoader(sansio::Port& port, kv::Store& store, coordination::Election& election,
-                 Ledger& ledger, const config::Config& config);
+    ClusterStateLoader(sansio::Context& port, kv::KvClient& store, coordination::Election& election,
+                       ClusterState& ledger, const config::Config& config);
 
     // Begins the ledger anew; it is loaded once everything has been read.
     void load();
@@ -47,10 +47,10 @@
     void take_dependency_part(Job& job, const kv::Row& row);
     void read_dependencies(const JobId& id, std::uint64_t generation);
 
-    sansio::Port& port_;
-    kv::Store& store_;
+    sansio::Context& context_;
+    kv::KvClient& kv_client_;
     coordination::Election& election_;
-    Ledger& ledger_;
+    ClusterState& state_;
     const config::Config& config_;
     KeyRev load_revision_;  // of the first list: watching from here misses nothing
     Instant ends_read_at_{};
--- a/src/state/cluster_state_writer.hpp
+++ b/src/state/cluster_state_writer.hpp
@@ -1,8 +1,9 @@
 // Commits what has changed in the ledger: transactions that guard the leader key, one at a time.
 //
 // A transaction that gets no answer is sent again until its outcome is known
-// (core/ledger_transaction.hpp). What users wait for (ends) and what lets tasks start (placements,
-// rental requests) is committed at once; what is proved done or gone follows at a fixed cadence.
+// (state/retried_transaction.hpp). What users wait for (ends) and what lets tasks start
+// (placements, rental requests) is committed at once; what is proved done or gone follows at a
+// fixed cadence.
 #pragma once
 
 #include "base/token_bucket.hpp"
@@ -17,10 +18,10 @@
 
 namespace dunebridge::state {
 
-class LedgerCommitter {
+class ClusterStateWriter {
   public:
-    LedgerCommitter(sansio::Port& port, kv::Store& store, coordination::Election& election,
-                    Ledger& ledger, const config::Config& config);
+    ClusterStateWriter(sansio::Context& port, kv::KvClient& store, coordination::Election& election,
+                       ClusterState& ledger, const config::Config& config);
 
     // Another term begins, or this node leads no more: the transaction under way is forgotten.
     void reset();
@@ -28,20 +29,20 @@
     void flush();
 
   private:
-    void send(Commit commit, double budget);
-    void finish(const Commit& commit, const kv::TransactionResult& result);
-    void applied(const Commit& commit, KeyRev revision);
+    void send(StateTransaction commit, double budget);
+    void finish(const StateTransaction& commit, const kv::TransactionResult& result);
+    void applied(const StateTransaction& commit, KeyRev revision);
     void progress_committed(const std::string& key);
     void end_committed(const JobId& id);
     void conflict(const kv::TransactionResult& result);
-    void refused_as_too_large(const Commit& commit);
+    void refused_as_too_large(const StateTransaction& commit);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     coordination::Election& election_;
-    Ledger& ledger_;
+    ClusterState& state_;
     const config::Config& config_;
     TokenBucket writes_;
-    LedgerTransaction transaction_;
+    RetriedTransaction transaction_;
     RecordReplacements replacements_;
     bool limits_lowered_ = false;  // the state service has refused a value that fitted before
     Instant next_commit_{};
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -14,9 +14,9 @@
 constexpr Millis kHandover{2000};
 }  // namespace
 
-DependencyGraph::DependencyGraph(sansio::Port& port, kv::Store& store, std::map<JobId, Job>& jobs,
-                                 Callbacks callbacks)
-    : port_(port), store_(store), jobs_(jobs), callbacks_(std::move(callbacks)) {}
+DependencyGraph::DependencyGraph(sansio::Context& port, kv::KvClient& store,
+                                 std::map<JobId, Job>& jobs, Callbacks callbacks)
+    : context_(port), kv_client_(store), jobs_(jobs), callbacks_(std::move(callbacks)) {}
 
 void DependencyGraph::clear() {
     dependents_.clear();
@@ -31,22 +31,22 @@
 }
 
 void DependencyGraph::after(Millis delay, std::function<void()> then) {
-    port_.after(delay, [this, clears = clears_, then = std::move(then)] {
+    context_.after(delay, [this, clears = clears_, then = std::move(then)] {
         if (clears == clears_ && callbacks_.active()) then();
     });
 }
 
 void DependencyGraph::add(Job& job) {
-    if (job.spec.waits_on.empty() || job.state != JobState::open) return;
-    if (job.begun()) return;  // all that it needs was done when an earlier leader placed it
+    if (job.spec.waits_on.empty() || job.state != JobState::active) return;
+    if (job.has_started()) return;  // all that it needs was done when an earlier leader placed it
     for (const auto& dependency : job.spec.waits_on) {
-        job.open_dependencies.insert(dependency);
+        job.unmet_dependencies.insert(dependency);
         dependents_[dependency].push_back(job.spec.id);
     }
     propagate_priority(job);
     for (const auto& dependency : job.spec.waits_on) {
         const auto* other = find(dependency);
-        if (!other || other->state == JobState::ended) read_end(dependency);
+        if (!other || other->state == JobState::terminal) read_end(dependency);
     }
 }
 
@@ -61,12 +61,12 @@
         dependents_.erase(it);
         for (const auto& next : waiting) {
             Job* job = find(next);
-            if (!job || job->state != JobState::open) continue;
+            if (!job || job->state != JobState::active) continue;
             if (how == wire::JobPhase::cancelled) {
                 callbacks_.cancel(*job);
                 ends.push_back(next);
-            } else if (job->open_dependencies.erase(end) > 0 && job->open_dependencies.empty()) {
-                job->ready_at = port_.now();
+            } else if (job->unmet_dependencies.erase(end) > 0 && job->unmet_dependencies.empty()) {
+                job->ready_at = context_.now();
             }
         }
     }
@@ -87,24 +87,24 @@
     for (const auto& id : unread_ends_) names.push_back(id.get());
     reading_ = !names.empty();
     if (names.empty()) return;
-    store_.get_many(kv::kEnds, std::move(names), kReadTimeout,
-                    [this, clears = clears_](const kv::RowsResult& rows) {
-                        if (clears != clears_ || !callbacks_.active()) return;
-                        if (rows.answered) take_ends(rows);
-                        after(kReadAgain, [this] { read_ends(); });
-                    });
+    kv_client_.get_each(kv::kTerminalPrefix, std::move(names), kReadTimeout,
+                        [this, clears = clears_](const kv::RowsResult& rows) {
+                            if (clears != clears_ || !callbacks_.active()) return;
+                            if (rows.answered) take_ends(rows);
+                            after(kReadAgain, [this] { read_ends(); });
+                        });
 }
 
 void DependencyGraph::take_ends(const kv::RowsResult& rows) {
     for (const auto& [key, row] : rows.rows) {
-        const JobId id(kv::without_prefix(key, kv::kEnds));
+        const JobId id(kv::without_prefix(key, kv::kTerminalPrefix));
         unread_ends_.erase(id);
-        ended(id, kv::decode_end(row.value).phase);
+        ended(id, kv::decode_terminal_record(row.value).phase);
     }
     // What is open in the ledger has no end yet; the watch reports it.
     std::erase_if(unread_ends_, [this](const JobId& id) {
         const auto* job = find(id);
-        return job && job->state != JobState::ended;
+        return job && job->state != JobState::terminal;
     });
 }
 
@@ -115,15 +115,16 @@
     while (!reached.empty()) {
         const auto& job = *reached.back();
         reached.pop_back();
-        auto end_by = job.end_by;
-        if (end_by != Instant::max()) {
-            end_by -= from_seconds(job.spec.expected_s * kEstimateUncertainty) + kHandover;
+        auto latest_end = job.latest_end;
+        if (latest_end != Instant::max()) {
+            latest_end -= from_seconds(job.spec.expected_s * kRunTimeUncertainty) + kHandover;
         }
-        for (const auto& dependency : job.open_dependencies) {
+        for (const auto& dependency : job.unmet_dependencies) {
             Job* other = find(dependency);
-            if (!other || (other->priority >= job.priority && other->end_by <= end_by)) continue;
+            if (!other || (other->priority >= job.priority && other->latest_end <= latest_end))
+                continue;
             other->priority = std::max(other->priority, job.priority);
-            other->end_by = std::min(other->end_by, end_by);
+            other->latest_end = std::min(other->latest_end, latest_end);
             reached.push_back(other);
         }
     }
--- a/src/state/dependency_graph.hpp
+++ b/src/state/dependency_graph.hpp
@@ -25,7 +25,7 @@
         std::function<void(Job&)> cancel;
     };
 
-    DependencyGraph(sansio::Port& port, kv::Store& store, std::map<JobId, Job>& jobs,
+    DependencyGraph(sansio::Context& port, kv::KvClient& store, std::map<JobId, Job>& jobs,
                     Callbacks callbacks);
 
     void clear();
@@ -44,8 +44,8 @@
     // Runs it after the delay, if the graph has not been cleared meanwhile.
     void after(Millis delay, std::function<void()> then);
 
-    sansio::Port& port_;
-    kv::Store& store_;
+    sansio::Context& context_;
+    kv::KvClient& kv_client_;
     std::map<JobId, Job>& jobs_;
     Callbacks callbacks_;
     std::unordered_map<JobId, std::vector<JobId>> dependents_;  // open jobs, by what they wait on
--- a/src/state/dirty_records.cpp
+++ b/src/state/dirty_records.cpp
@@ -16,19 +16,19 @@
     return it == records_.end() ? nullptr : &it->second;
 }
 
-void DirtyRecords::mark(const std::string& key, CommitClass commit_class) {
+void DirtyRecords::mark(const std::string& key, CommitUrgency urgency) {
     ++version_;
     auto& record = records_[key];
     if (record.first == 0) {
-        record = {version_, version_, commit_class, port_.now()};
+        record = {version_, version_, urgency, context_.now()};
         return;
     }
     record.last = version_;
-    record.commit_class = std::min(record.commit_class, commit_class);
+    record.urgency = std::min(record.urgency, urgency);
 }
 
 void DirtyRecords::mark_in_place_of(const DirtyRecord& earlier, const std::string& key) {
-    mark(key, earlier.commit_class);
+    mark(key, earlier.urgency);
     auto& record = records_[key];
     record.since = earlier.since;
     if (earlier.first != 0) record.first = std::min(record.first, earlier.first);
@@ -42,12 +42,12 @@
         return;
     }
     it->second.first = version + 1;
-    it->second.since = port_.now();
+    it->second.since = context_.now();
 }
 
 void DirtyRecords::lower_to_cadence(const std::string& key) {
     const auto it = records_.find(key);
-    if (it != records_.end()) it->second.commit_class = CommitClass::cadence;
+    if (it != records_.end()) it->second.urgency = CommitUrgency::batched;
 }
 
 bool DirtyRecords::is_committed(const std::string& key, Version version) const {
@@ -56,7 +56,7 @@
 }
 
 std::vector<std::string> DirtyRecords::due() {
-    const auto now = port_.now();
+    const auto now = context_.now();
     struct Due {
         std::string key;
         DirtyRecord record;
@@ -65,16 +65,16 @@
     Instant next = Instant::max();
     for (const auto& [key, record] : records_) {
         const auto due_at = record.since + kCadence;
-        if (record.commit_class == CommitClass::cadence && now < due_at) {
+        if (record.urgency == CommitUrgency::batched && now < due_at) {
             next = std::min(next, due_at);
         } else {
             due.push_back({key, record});
         }
     }
-    if (next < Instant::max()) port_.wake_at(next);
+    if (next < Instant::max()) context_.request_wake(next);
     std::sort(due.begin(), due.end(), [](const Due& a, const Due& b) {
-        return std::tie(a.record.commit_class, a.record.first) <
-               std::tie(b.record.commit_class, b.record.first);
+        return std::tie(a.record.urgency, a.record.first) <
+               std::tie(b.record.urgency, b.record.first);
     });
     std::vector<std::string> keys;
     keys.reserve(due.size());
--- a/src/state/dirty_records.hpp
+++ b/src/state/dirty_records.hpp
@@ -14,23 +14,23 @@
 namespace dunebridge::state {
 
 // How soon a change is to be committed; the first go first.
-enum class CommitClass : std::uint8_t {
-    end,     // users wait for it
-    urgent,  // a placement or a rental request: something starts once it is committed
-    cadence  // something proved done or gone: the workers' lists hold it until then
+enum class CommitUrgency : std::uint8_t {
+    terminal,  // users wait for it
+    prompt,    // a placement or a rental request: something starts once it is committed
+    batched    // something proved done or gone: the workers' lists hold it until then
 };
 
 struct DirtyRecord {
     Version first = 0;  // of the oldest change that is not committed
     Version last = 0;   // of the newest
-    CommitClass commit_class = CommitClass::cadence;
+    CommitUrgency urgency = CommitUrgency::batched;
     Instant since{};
 };
 
 // Every change to the ledger gets a version, which grows as long as the process lives.
 class DirtyRecords {
   public:
-    explicit DirtyRecords(sansio::Port& port) : port_(port) {}
+    explicit DirtyRecords(sansio::Context& port) : context_(port) {}
 
     void clear() { records_.clear(); }
     bool empty() const { return records_.empty(); }
@@ -39,7 +39,7 @@
     const DirtyRecord* find(const std::string& key) const;
 
     // The record has changed.
-    void mark(const std::string& key, CommitClass commit_class);
+    void mark(const std::string& key, CommitUrgency urgency);
     // The record takes over changes that another has been waiting with.
     void mark_in_place_of(const DirtyRecord& earlier, const std::string& key);
     void erase(const std::string& key) { records_.erase(key); }
@@ -54,7 +54,7 @@
     std::vector<std::string> due();
 
   private:
-    sansio::Port& port_;
+    sansio::Context& context_;
     Version version_ = 0;
     std::map<std::string, DirtyRecord> records_;
 };
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -1,5 +1,5 @@
-// The leader's model of jobs, tasks, placements, machines and rentals. Kept consistent by Ledger;
-// Workers, Provisioner and Scheduler read it and keep their own fields in it.
+// The leader's model of jobs, tasks, placements, machines and rentals. Kept consistent by
+// ClusterState; WorkerManager, Provisioner and Scheduler read it and keep their own fields in it.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 namespace dunebridge::state {
 
 // Owners' estimates of run times are often wrong by half.
-inline constexpr double kEstimateUncertainty = 1.5;
+inline constexpr double kRunTimeUncertainty = 1.5;
 
 // Attempts are the term above a counter: they grow across leaders without being stored.
 inline constexpr int kAttemptBits = 28;
@@ -26,9 +26,10 @@
 using Version = std::uint64_t;  // counts the ledger's changes in memory
 
 enum class JobState : std::uint8_t {
-    open,
-    ending,  // every task is done, or a job that it needs is cancelled; the end is being committed
-    ended    // done or cancelled: nothing of it may run
+    active,
+    finishing,  // every task is done, or a job that it needs is cancelled; the end is being
+                // committed
+    terminal    // done or cancelled: nothing of it may run
 };
 
 struct Placement;
@@ -37,7 +38,7 @@
 struct Task {
     Placement* at = nullptr;  // where it is recorded to be; a task has one placement at most
     bool done = false;
-    bool shielded = false;  // the paper's flag 2: stopped once by preemption
+    bool preemption_protected = false;  // the paper's flag 2: stopped once by preemption
 };
 
 // Part of a job's tasks that has a record of its own.
@@ -61,8 +62,8 @@
     std::vector<TaskRange> ranges;  // all of its tasks, in order
     std::uint64_t sequence = 0;
     Instant submitted{};
-    JobState state = JobState::open;
-    Instant ended_at{};
+    JobState state = JobState::active;
+    Instant terminal_since{};
     std::vector<Task> tasks;
     std::vector<std::uint32_t> waiting;  // neither done nor placed; taken from the back
     std::uint32_t done = 0;
@@ -71,17 +72,17 @@
     std::map<std::string, std::uint32_t> zones;  // placements by zone; "" where it is not known
 
     // Chains. What it waits on and is not known to be done; while there is any, it holds nothing.
-    std::set<JobId> open_dependencies;
+    std::set<JobId> unmet_dependencies;
     // Of its records dep/<id>/<n>, how many there are, and how many have been read.
     std::uint64_t dependency_parts = 0;
     std::uint64_t parts_read = 0;
-    bool cancelled_with_dependency = false;  // one of those is cancelled, and this job ends with it
+    bool cancelled_by_dependency = false;  // one of those is cancelled, and this job ends with it
     Instant ready_at{};  // when the last job that it needs was done; else when it was submitted
     // What the jobs that need it ask of it: the highest priority, and the latest end.
     wire::Priority priority = wire::Priority::idle;
-    Instant end_by = Instant::max();
+    Instant latest_end = Instant::max();
 
-    Instant retry_at{};  // after errors and refusals
+    Instant backoff_until{};  // after errors and refusals
     Millis pause{0};
     JobFailures failures;
 
@@ -92,18 +93,18 @@
                         kFaultyJobTasks - std::min<std::size_t>(placed, kFaultyJobTasks));
     }
     // Some task of it has been given a machine.
-    bool begun() const { return done > 0 || placed > 0; }
+    bool has_started() const { return done > 0 || placed > 0; }
     // Nothing of it may start yet.
-    bool waits() const { return !open_dependencies.empty() || parts_read < dependency_parts; }
+    bool waits() const { return !unmet_dependencies.empty() || parts_read < dependency_parts; }
     Resources need() const { return {spec.cores, spec.accelerators, spec.ram_gb}; }
 };
 
 // How a start has left this leader.
 enum class StartDelivery : std::uint8_t {
-    never,    // not on its way: certainly not sent, or known not to have been executed
-    direct,   // in the direct command now under way
-    checkin,  // in the answer to a check-in; settled by the next check-in
-    settled   // sent; a sure report shows whether it is there
+    not_sent,              // not on its way: certainly not sent, or known not to have been executed
+    in_direct_command,     // in the direct command now under way
+    in_heartbeat_reply,    // in the answer to a check-in; settled by the next check-in
+    awaiting_confirmation  // sent; a sure report shows whether it is there
 };
 
 struct Placement {
@@ -113,13 +114,13 @@
     Attempt attempt;
     bool committed = false;
     bool in_commit = false;
-    StartDelivery sent = StartDelivery::never;
+    StartDelivery sent = StartDelivery::not_sent;
     // The answer to the last check-in carried the start: until the next one it may be executed,
     // whatever becomes of a direct command that repeats it.
-    bool in_checkin_answer = false;
+    bool in_heartbeat_reply = false;
     // A repeat of the direct command that started it is refused once the worker has shown this
     // fence; 0: no direct command has.
-    std::uint64_t refused_from = 0;
+    std::uint64_t fenced_from = 0;
     bool seen = false;
     wire::TaskPhase phase = wire::TaskPhase::other;
     std::uint64_t session =
@@ -134,12 +135,12 @@
 };
 
 // A task that the worker lists as exited and that must be cleared once its outcome is committed.
-struct Exited {
+struct ExitedTask {
     TaskRef task;
     Attempt attempt;
     std::string record;  // the key that must hold the outcome; empty: none
     Version outcome = 0;
-    std::uint64_t refused_from = 0;  // as of its placement
+    std::uint64_t fenced_from = 0;  // as of its placement
 };
 
 // The order of a machine's tasks: those of earlier jobs first.
@@ -150,23 +151,23 @@
 };
 
 // A task that a report lists and no record names.
-struct UnexpectedTask {
+struct UnrecordedTask {
     TaskRef task;
     Attempt attempt;
 };
 
 // What the leader of this term knows of a machine's worker (workers/).
-struct WorkerState {
+struct WorkerStatus {
     Instant known_since{};  // to this term's leader
     bool reported = false;
-    ReportOrder last;
-    ReportOrder last_checkin;
-    Instant last_report{};
-    Instant last_reply{};
+    HeartbeatSequence last;
+    HeartbeatSequence last_heartbeat_request;
+    Instant last_heartbeat_at{};
+    Instant last_reply_at{};
     // The highest fencing token that the worker has shown, and the machine's own part of the one
     // that is current.
     FencingToken shown;
-    std::uint64_t fence = 0;
+    std::uint64_t fence_counter = 0;
     // Answers to check-ins that carried the current token, since a report last showed it.
     std::uint32_t unacknowledged = 0;
     Instant unacknowledged_since{};
@@ -175,23 +176,23 @@
     bool command_in_flight = false;
     Instant next_command_at{};
     // Tasks that the last report listed: those that have ended, and those that no record names.
-    std::vector<Exited> exited;
-    std::vector<UnexpectedTask> unexpected_tasks;
+    std::vector<ExitedTask> exited;
+    std::vector<UnrecordedTask> unrecorded_tasks;
     Instant refused_until{};
     // How often tasks of each job failed here since one of any job last succeeded.
     std::map<JobId, std::uint32_t> failures;
 };
 
 // What the cloud's answers to this term's leader say of a machine (provisioning/).
-struct CloudState {
-    Instant rented_at{};  // as far as the machine list shows
+struct InstanceStatus {
+    Instant provisioned_at{};  // as far as the machine list shows
     bool starting = true;
-    // How it comes up (provisioning/startup_monitor.hpp).
+    // How it comes up (provisioning/boot_monitor.hpp).
     bool awaited = false;   // rented in this term, and not up yet
     bool overdue = false;   // it should be up
     bool replaced = false;  // overdue, and another may take its place in the fleet
     bool listed = false;
-    std::uint32_t missing_lists = 0;
+    std::uint32_t missed_listings = 0;
     bool failed = false;
     bool deleting = false;
 };
@@ -204,28 +205,29 @@
     bool spot = false;
     std::string rental;  // key of the rental that brought it
     std::map<PlacementKey, Placement> tasks;
-    Resources total;    // what its type has; nothing until that is known
-    Resources used;     // by all of its tasks
-    Resources leaving;  // the part of it that tasks being stopped will leave
-
-    WorkerState worker;
-    CloudState cloud;
-    bool draining = false;            // gets no new tasks, and is returned once it has none
-    std::optional<Instant> taken_at;  // when the cloud takes it, announced by a notice
+    Resources total;      // what its type has; nothing until that is known
+    Resources used;       // by all of its tasks
+    Resources releasing;  // the part of it that tasks being stopped will leave
+
+    WorkerStatus worker;
+    InstanceStatus cloud;
+    bool cordoned = false;                 // gets no new tasks, and is returned once it has none
+    std::optional<Instant> preemption_at;  // when the cloud takes it, announced by a notice
     Instant idle_since{};
     std::set<std::string> images;  // seen running here; for ties only
-    std::uint64_t kept_for = 0;    // sequence number of the aged job that this machine is kept for
-    Instant kept_since{};
+    std::uint64_t reserved_for =
+        0;  // sequence number of the aged job that this machine is kept for
+    Instant reserved_since{};
 };
 
 // A rental: the request, and once it is answered the machines it brought that are not gone.
-struct RentalRecord {
-    wire::RentalRequest request;
+struct ScaleOutRecord {
+    wire::ScaleOutRequest request;
     bool answered = false;
     std::set<HostName> hosts;
 };
 
-struct TeamUse {
+struct TeamUsage {
     double cpus = 0;
     double gpus = 0;
 };
--- a/src/state/record_codec.cpp
+++ b/src/state/record_codec.cpp
@@ -51,7 +51,7 @@
 
 JobId job_of_key(const std::string& key) {
     const auto slash = key.rfind('/');
-    const auto start = std::string_view(kv::kProgress).size();
+    const auto start = std::string_view(kv::kProgressPrefix).size();
     if (slash == std::string::npos || slash <= start) throw DecodeError("key");
     return JobId(key.substr(start, slash - start));
 }
@@ -71,11 +71,12 @@
 }  // namespace
 
 std::string chunk_key(const JobId& id, std::uint32_t chunk) {
-    return kv::kProgress + id.get() + "/" + std::to_string(chunk);
+    return kv::kProgressPrefix + id.get() + "/" + std::to_string(chunk);
 }
 
 std::string range_key(const JobId& id, std::uint32_t from, std::uint32_t size) {
-    return kv::kProgress + id.get() + "/t" + std::to_string(from) + "+" + std::to_string(size);
+    return kv::kProgressPrefix + id.get() + "/t" + std::to_string(from) + "+" +
+           std::to_string(size);
 }
 
 kv::PackedRecord encode_progress(const Job& job, const TaskRange& range) {
@@ -98,7 +99,7 @@
     if (!chunk) w.text("size").count(range.size);
     w.text("done").text(to_hex(from, to, [&](std::uint32_t i) { return job.tasks[i].done; }));
     w.text("shielded").text(to_hex(from, to, [&](std::uint32_t i) {
-        return job.tasks[i].shielded;
+        return job.tasks[i].preemption_protected;
     }));
     w.text("base").count(base).text("tasks").list(by_host.size());
     for (const auto& [host, placements] : by_host) {
@@ -120,14 +121,14 @@
         range ? static_cast<std::uint32_t>(value["size"].need_count("size")) : kTasksPerChunk;
     if (record.size == 0 || record.size > kTasksPerChunk) throw DecodeError("size");
     record.done = from_hex(value["done"].need_text("done"), record.from);
-    record.shielded = from_hex(value["shielded"].need_text("shielded"), record.from);
+    record.preemption_protected = from_hex(value["shielded"].need_text("shielded"), record.from);
     const auto base = value["base"].need_count("base");
     const auto hosts = value["tasks"];
     for (std::size_t h = 0; h < hosts.size(); ++h) decode_host(hosts.at(h), base, record);
     return record;
 }
 
-kv::PackedRecord encode_rental(const RentalRecord& rental) {
+kv::PackedRecord encode_scale_out(const ScaleOutRecord& rental) {
     const auto& request = rental.request;
     Writer w;
     w.map(rental.answered ? 7 : 6).text("v").count(config::kChunkFormat);
@@ -143,10 +144,10 @@
     return {w.take(), w.json_size()};
 }
 
-RentalRecord decode_rental_record(wire::Value value) {
+ScaleOutRecord decode_scale_out_record(wire::Value value) {
     require_chunk_format(value);
-    RentalRecord rental;
-    rental.request = wire::decode_rental(value);
+    ScaleOutRecord rental;
+    rental.request = wire::decode_scale_out_request(value);
     rental.answered = value["hosts"].is_list();
     if (!rental.answered) return rental;
     for (auto& host : wire::decode_hosts(value)) rental.hosts.insert(std::move(host));
--- a/src/state/record_codec.hpp
+++ b/src/state/record_codec.hpp
@@ -36,7 +36,7 @@
     std::uint32_t from = 0;
     std::uint32_t size = 0;  // tasks that it covers
     std::vector<std::uint32_t> done;
-    std::vector<std::uint32_t> shielded;
+    std::vector<std::uint32_t> preemption_protected;
     std::vector<Placed> placed;
 };
 
@@ -44,9 +44,9 @@
 // Reads formats up to the one given. Throws wire::DecodeError.
 ProgressRecord decode_progress(const kv::Row& row, std::uint64_t newest_format);
 
-kv::PackedRecord encode_rental(const RentalRecord& rental);
+kv::PackedRecord encode_scale_out(const ScaleOutRecord& rental);
 // Throws wire::DecodeError.
-RentalRecord decode_rental_record(wire::Value value);
+ScaleOutRecord decode_scale_out_record(wire::Value value);
 
 // The mark that a format is in force.
 kv::PackedRecord encode_format_mark(std::uint64_t format);
--- a/src/state/retried_transaction.cpp
+++ b/src/state/retried_transaction.cpp
@@ -20,11 +20,12 @@
 constexpr int kMaxCopies = 40;
 }  // namespace
 
-LedgerTransaction::LedgerTransaction(sansio::Port& port, kv::Store& store, TokenBucket& budget)
-    : port_(port), store_(store), budget_(budget) {}
+RetriedTransaction::RetriedTransaction(sansio::Context& port, kv::KvClient& store,
+                                       TokenBucket& budget)
+    : context_(port), kv_client_(store), budget_(budget) {}
 
-void LedgerTransaction::send(std::vector<wire::Precondition> preconditions,
-                             std::vector<wire::Write> writes, Done done) {
+void RetriedTransaction::send(std::vector<wire::Precondition> preconditions,
+                              std::vector<wire::Write> writes, Done done) {
     ++sequence_;
     preconditions_ = std::move(preconditions);
     writes_ = std::move(writes);
@@ -34,35 +35,35 @@
     send_copy();
 }
 
-void LedgerTransaction::abandon() {
+void RetriedTransaction::abandon() {
     ++sequence_;
     done_ = nullptr;
 }
 
-void LedgerTransaction::send_copy() {
+void RetriedTransaction::send_copy() {
     const auto timeout = copies_++ == 0 ? kFirstTimeout : kTimeout;
-    store_.transact(
+    kv_client_.transact(
         preconditions_, writes_, timeout,
         while_current<TransactionResult>([this](const auto& result) { answered(result); }));
 }
 
-void LedgerTransaction::after(Millis pause, std::function<void()> then) {
-    port_.after(pause, [this, then = std::move(then), sequence = sequence_] {
+void RetriedTransaction::after(Millis pause, std::function<void()> then) {
+    context_.after(pause, [this, then = std::move(then), sequence = sequence_] {
         if (sequence == sequence_) then();
     });
 }
 
-void LedgerTransaction::send_again() {
-    after(kRetryAfter + port_.jitter(kRetryAfter), [this] {
+void RetriedTransaction::send_again() {
+    after(kRetryAfter + context_.jitter(kRetryAfter), [this] {
         const auto changes = static_cast<double>(writes_.size());
-        budget_.take(changes, port_.now()) ? send_copy() : send_again();
+        budget_.take(changes, context_.now()) ? send_copy() : send_again();
     });
 }
 
-void LedgerTransaction::answered(const TransactionResult& result) {
+void RetriedTransaction::answered(const TransactionResult& result) {
     if (result.outcome == Outcome::unknown) {
         some_lost_ = true;
-        port_.log(sansio::LogLevel::info, "event=commit_unknown copies={}", copies_);
+        context_.log(sansio::LogLevel::info, "event=commit_unknown copies={}", copies_);
         copies_ < kMaxCopies ? send_again() : finish(result);
         return;
     }
@@ -80,7 +81,7 @@
     }
 }
 
-const wire::Precondition* LedgerTransaction::precondition_of(const wire::Write& write) const {
+const wire::Precondition* RetriedTransaction::precondition_of(const wire::Write& write) const {
     const auto it =
         std::find_if(preconditions_.begin(), preconditions_.end(),
                      [&](const auto& precondition) { return precondition.key == write.key; });
@@ -90,12 +91,12 @@
 // The write whose record shows whether the transaction was applied. Nobody but the
 // leader writes records other than ends; what was set is preferred, as its revision is that of the
 // whole transaction.
-std::optional<std::size_t> LedgerTransaction::telling_write() const {
+std::optional<std::size_t> RetriedTransaction::telling_write() const {
     std::optional<std::size_t> best;
     int best_rank = 0;
     for (std::size_t i = 0; i < writes_.size(); ++i) {
         if (!precondition_of(writes_[i])) continue;
-        const bool end = writes_[i].key.starts_with(kv::kEnds);
+        const bool end = writes_[i].key.starts_with(kv::kTerminalPrefix);
         const int rank = end ? 1 : writes_[i].value ? 3 : 2;
         if (rank <= best_rank) continue;
         best = i;
@@ -104,7 +105,7 @@
     return best;
 }
 
-void LedgerTransaction::settle(const TransactionResult& conflict) {
+void RetriedTransaction::settle(const TransactionResult& conflict) {
     const auto& failed = conflict.failed;
     const bool deposed =
         std::find(failed.begin(), failed.end(), preconditions_.front().key) != failed.end();
@@ -114,7 +115,7 @@
 
 // Some precondition has failed for good: revisions only grow and ends stay. So a copy that has not
 // been applied by now never will be.
-void LedgerTransaction::settle_by(std::size_t write, const TransactionResult& conflict) {
+void RetriedTransaction::settle_by(std::size_t write, const TransactionResult& conflict) {
     const auto then = [this, write, conflict](const kv::GetResult& result) {
         if (!result.answered) {
             after(kRetryAfter, [this, write, conflict] { settle_by(write, conflict); });
@@ -126,34 +127,35 @@
             ? finish(conflict)
             : confirm_applied(precondition, now);
     };
-    store_.get(writes_[write].key, kTimeout, while_current<kv::GetResult>(then));
+    kv_client_.get(writes_[write].key, kTimeout, while_current<kv::GetResult>(then));
 }
 
 // An end that is not the one this transaction sets: a user's cancellation came first.
-bool LedgerTransaction::written_by_a_user(const wire::Write& write, const kv::GetResult& result) {
-    if (!write.key.starts_with(kv::kEnds) || !write.value || !result.row) return false;
+bool RetriedTransaction::written_by_a_user(const wire::Write& write, const kv::GetResult& result) {
+    if (!write.key.starts_with(kv::kTerminalPrefix) || !write.value || !result.row) return false;
     const auto own = wire::Document::parse(*write.value);
-    return !own || kv::decode_end(own->root()) != kv::decode_end(result.row->value);
+    return !own ||
+           kv::decode_terminal_record(own->root()) != kv::decode_terminal_record(result.row->value);
 }
 
 // The record has changed. It was this transaction that changed it if this node still leads in the
 // term that sent it.
-void LedgerTransaction::confirm_applied(const wire::Precondition& precondition, KeyRev now) {
-    store_.transact({preconditions_.front(), {precondition.key, now}}, {}, kTimeout,
-                    while_current<TransactionResult>([this, precondition, now](const auto& result) {
-                        if (result.outcome == Outcome::ok) {
-                            finish({Outcome::ok, now, {}});
-                        } else if (result.outcome == Outcome::conflict) {
-                            finish({});
-                        } else {
-                            after(kRetryAfter, [this, precondition, now] {
-                                confirm_applied(precondition, now);
-                            });
-                        }
-                    }));
+void RetriedTransaction::confirm_applied(const wire::Precondition& precondition, KeyRev now) {
+    kv_client_.transact(
+        {preconditions_.front(), {precondition.key, now}}, {}, kTimeout,
+        while_current<TransactionResult>([this, precondition, now](const auto& result) {
+            if (result.outcome == Outcome::ok) {
+                finish({Outcome::ok, now, {}});
+            } else if (result.outcome == Outcome::conflict) {
+                finish({});
+            } else {
+                after(kRetryAfter,
+                      [this, precondition, now] { confirm_applied(precondition, now); });
+            }
+        }));
 }
 
-void LedgerTransaction::finish(const TransactionResult& result) {
+void RetriedTransaction::finish(const TransactionResult& result) {
     const auto done = std::move(done_);
     abandon();
     if (done) done(result);
--- a/src/state/retried_transaction.hpp
+++ b/src/state/retried_transaction.hpp
@@ -19,13 +19,13 @@
 
 namespace dunebridge::state {
 
-class LedgerTransaction {
+class RetriedTransaction {
   public:
     // Never called with Outcome::unknown unless nothing but a new term can settle the matter.
     using Done = std::function<void(const kv::TransactionResult&)>;
 
     // The budget is charged for what is sent again; the caller charges it for the first copy.
-    LedgerTransaction(sansio::Port& port, kv::Store& store, TokenBucket& budget);
+    RetriedTransaction(sansio::Context& port, kv::KvClient& store, TokenBucket& budget);
 
     // The first precondition must be the one on the leader key. Those on records must name the
     // revision at which only this leader can have changed them.
@@ -55,8 +55,8 @@
         };
     }
 
-    sansio::Port& port_;
-    kv::Store& store_;
+    sansio::Context& context_;
+    kv::KvClient& kv_client_;
     TokenBucket& budget_;
     std::uint64_t sequence_ = 0;
     std::vector<wire::Precondition> preconditions_;
--- a/src/state/run_time_estimator.cpp
+++ b/src/state/run_time_estimator.cpp
@@ -10,12 +10,12 @@
 constexpr double kMostRatio = 10.0;
 }  // namespace
 
-double RunTimes::expected_s(const state::Job& job) const {
+double RunTimeEstimator::expected_s(const state::Job& job) const {
     const auto it = class_ratio_.find(job.spec.job_class);
     return job.spec.expected_s * (it == class_ratio_.end() ? 1.0 : it->second);
 }
 
-void RunTimes::learn(const state::Job& job, double ran_s) {
+void RunTimeEstimator::learn(const state::Job& job, double ran_s) {
     if (job.spec.expected_s <= 0) return;
     const double ratio = std::clamp(ran_s / job.spec.expected_s, kLeastRatio, kMostRatio);
     auto [it, added] = class_ratio_.try_emplace(job.spec.job_class, ratio);
--- a/src/state/run_time_estimator.hpp
+++ b/src/state/run_time_estimator.hpp
@@ -9,7 +9,7 @@
 
 namespace dunebridge::state {
 
-class RunTimes {
+class RunTimeEstimator {
   public:
     double expected_s(const state::Job& job) const;
     // A task of the job has run for so long.
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -10,9 +10,9 @@
 
 namespace dunebridge::state {
 
-using kv::kEnds;
-using kv::kProgress;
-using kv::kRentals;
+using kv::kProgressPrefix;
+using kv::kScaleOutPrefix;
+using kv::kTerminalPrefix;
 using kv::without_prefix;
 
 namespace {
@@ -29,51 +29,53 @@
 }
 }  // namespace
 
-RecordedRange find_recorded_range(Ledger& ledger, const std::string& progress_key) {
-    const auto name = without_prefix(progress_key, kProgress);
+RecordedRange find_recorded_range(ClusterState& ledger, const std::string& progress_key) {
+    const auto name = without_prefix(progress_key, kProgressPrefix);
     auto* job = ledger.find_job(JobId(name.substr(0, name.rfind('/'))));
     if (!job) return {};
     return {job, find_range(*job, progress_key)};
 }
 
 wire::JobPhase end_of(const Job& job) {
-    return job.cancelled_with_dependency ? wire::JobPhase::cancelled : wire::JobPhase::done;
+    return job.cancelled_by_dependency ? wire::JobPhase::cancelled : wire::JobPhase::done;
 }
 
-CommitBuilder::CommitBuilder(sansio::Port& port, Ledger& ledger, RecordReplacements& replacements,
-                             CommitLimits limits, wire::Precondition leads)
-    : port_(port), ledger_(ledger), replacements_(replacements), limits_(limits) {
+TransactionBuilder::TransactionBuilder(sansio::Context& port, ClusterState& ledger,
+                                       RecordReplacements& replacements, TransactionLimits limits,
+                                       wire::Precondition leads)
+    : context_(port), state_(ledger), replacements_(replacements), limits_(limits) {
     commit_.version = ledger.version();
     commit_.preconditions.push_back(std::move(leads));
 }
 
 // The record as it is to be written; none if it is to be removed.
-std::optional<CommitBuilder::Record> CommitBuilder::encode_record(const std::string& key) {
-    if (key.starts_with(kProgress)) {
-        const auto [job, range] = find_recorded_range(ledger_, key);
+std::optional<TransactionBuilder::Record> TransactionBuilder::encode_record(
+    const std::string& key) {
+    if (key.starts_with(kProgressPrefix)) {
+        const auto [job, range] = find_recorded_range(state_, key);
         if (range) return encode_progress(*job, *range);
     } else if (key == kv::kFormatMark) {
-        if (ledger_.format() < config::kRangeFormat) return std::nullopt;
-        return encode_format_mark(ledger_.format());
-    } else if (key.starts_with(kRentals)) {
-        const auto it = ledger_.rentals().find(without_prefix(key, kRentals));
-        if (it != ledger_.rentals().end()) return encode_rental(it->second);
-    } else if (key.starts_with(kEnds)) {
-        const auto* job = ledger_.find_job(JobId(without_prefix(key, kEnds)));
+        if (state_.format() < config::kRangeFormat) return std::nullopt;
+        return encode_format_mark(state_.format());
+    } else if (key.starts_with(kScaleOutPrefix)) {
+        const auto it = state_.rentals().find(without_prefix(key, kScaleOutPrefix));
+        if (it != state_.rentals().end()) return encode_scale_out(it->second);
+    } else if (key.starts_with(kTerminalPrefix)) {
+        const auto* job = state_.find_job(JobId(without_prefix(key, kTerminalPrefix)));
         if (!job) return std::nullopt;
-        return encode(kv::EndRecord{end_of(*job), job->spec.task_count, port_.wall_ms()});
+        return encode(kv::TerminalRecord{end_of(*job), job->spec.task_count, context_.wall_ms()});
     }
     return std::nullopt;
 }
 
-bool CommitBuilder::add(const std::string& key) {
+bool TransactionBuilder::add(const std::string& key) {
     const auto original = replacements_.original_of(key);
     const bool replaced = replacements_.is_original(original);
     const auto& added = commit_.originals;
     if (replaced && std::find(added.begin(), added.end(), original) != added.end()) return true;
     auto record = encode_record(key);
-    if (!record && !ledger_.stored().contains(key) && !replaced) {
-        ledger_.dirty().erase(key);
+    if (!record && !state_.stored().contains(key) && !replaced) {
+        state_.dirty().erase(key);
         return true;
     }
     if (record && record->json_size > value_limit() && !fit_to_limit(key, record)) return true;
@@ -86,51 +88,51 @@
 }
 
 // The size at which records are split; in the older format they cannot be.
-std::size_t CommitBuilder::value_limit() const {
-    return ledger_.format() >= config::kRangeFormat
-               ? limits_.state.value_bytes()
-               : limits_.state.value_bytes_now(limits_.lowered);
+std::size_t TransactionBuilder::value_limit() const {
+    return state_.format() >= config::kRangeFormat ? limits_.state.value_bytes()
+                                                   : limits_.state.value_bytes_now(limits_.lowered);
 }
 
 // A record that is too large is split, or grows less. False if it can't be written now.
-bool CommitBuilder::fit_to_limit(const std::string& key, std::optional<Record>& record) {
+bool TransactionBuilder::fit_to_limit(const std::string& key, std::optional<Record>& record) {
     if (split(key)) return false;
     postpone_placements(key, record);
     if (!record || record->json_size <= limits_.state.value_bytes_now(limits_.lowered)) return true;
     // It stays as it was; what it adds is never acted on.
-    port_.log(sansio::LogLevel::error, "event=record_too_large key={} bytes={}", key,
-              record->json_size);
+    context_.log(sansio::LogLevel::error, "event=record_too_large key={} bytes={}", key,
+                 record->json_size);
     return false;
 }
 
 // A range whose record has grown too large becomes several, each of which fits.
-bool CommitBuilder::split(const std::string& key) {
-    const auto [job, range] = find_recorded_range(ledger_, key);
-    if (ledger_.format() < config::kRangeFormat || !range || range->size < 2) return false;
+bool TransactionBuilder::split(const std::string& key) {
+    const auto [job, range] = find_recorded_range(state_, key);
+    if (state_.format() < config::kRangeFormat || !range || range->size < 2) return false;
     // One that is itself to take the place of another, in the same transaction, does not go first.
     const auto original = replacements_.original_of(key);
     const auto parts = split_range(*job, *range, limits_.state.value_bytes());
     const auto writes = replacements_.parts_of(original).size() + parts.size() + 1;
     if (writes > limits_.state.txn_ops()) return false;
-    auto& dirty = ledger_.dirty();
+    auto& dirty = state_.dirty();
     const auto* found = dirty.find(key);
-    const auto waiting = found ? *found : DirtyRecord{0, 0, CommitClass::cadence, port_.now()};
+    const auto waiting = found ? *found : DirtyRecord{0, 0, CommitUrgency::batched, context_.now()};
     replacements_.replace(original, key, parts);
     replace_range(*job, key, parts);
     for (const auto& part : parts) dirty.mark_in_place_of(waiting, part.key);
     if (key != original) {
         dirty.erase(key);
     } else {
-        dirty.mark(original, waiting.commit_class);
+        dirty.mark(original, waiting.urgency);
     }
-    port_.log(sansio::LogLevel::info, "event=record_split key={} parts={}", key, parts.size());
+    context_.log(sansio::LogLevel::info, "event=record_split key={} parts={}", key, parts.size());
     split_any_ = true;
     return true;
 }
 
 // What cannot be recorded is not done: placements that make the record too large wait again.
-void CommitBuilder::postpone_placements(const std::string& key, std::optional<Record>& record) {
-    const auto [job, range] = find_recorded_range(ledger_, key);
+void TransactionBuilder::postpone_placements(const std::string& key,
+                                             std::optional<Record>& record) {
+    const auto [job, range] = find_recorded_range(state_, key);
     const auto limit = limits_.state.value_bytes_now(limits_.lowered);
     while (range && record && record->json_size > limit) {
         std::vector<Placement*> open;
@@ -143,15 +145,15 @@
         if (open.empty()) break;
         const auto half = (open.size() + 1) / 2;
         for (std::size_t i = 0; i < half; ++i) {
-            ledger_.remove(*open[i]->machine, {job->sequence, open[i]->index});
+            state_.remove(*open[i]->machine, {job->sequence, open[i]->index});
         }
-        job->retry_at = port_.now() + kPostponed;
+        job->backoff_until = context_.now() + kPostponed;
         record = encode_progress(*job, *range);
     }
 }
 
 // All records that take the original's place, or none.
-bool CommitBuilder::add_replacement(const std::string& original) {
+bool TransactionBuilder::add_replacement(const std::string& original) {
     const auto parts = replacements_.parts_of(original);
     std::size_t bytes = size_in_transaction(original, std::nullopt);
     for (const auto& key : parts) {
@@ -173,8 +175,8 @@
 
 // Whether the record holds placements that are not committed; they count as being committed with
 // the transaction.
-bool CommitBuilder::records_new_placements(const std::string& key) {
-    const auto [job, range] = find_recorded_range(ledger_, key);
+bool TransactionBuilder::records_new_placements(const std::string& key) {
+    const auto [job, range] = find_recorded_range(state_, key);
     const auto before = placements_.size();
     for (auto i = range->from; i < range->from + range->size; ++i) {
         auto* placement = job->tasks[i].at;
@@ -184,19 +186,20 @@
 }
 
 // The job must not have ended.
-void CommitBuilder::add_precondition_on_end(const std::string& key) {
+void TransactionBuilder::add_precondition_on_end(const std::string& key) {
     if (ends_.insert(key).second) commit_.preconditions.push_back({key, KeyRev()});
 }
 
-void CommitBuilder::add_record(const std::string& key, std::optional<Record> record) {
-    const auto& stored = ledger_.stored();
+void TransactionBuilder::add_record(const std::string& key, std::optional<Record> record) {
+    const auto& stored = state_.stored();
     // Placements may only be recorded for jobs without an end, and ends only once.
-    if (key.starts_with(kEnds)) {
+    if (key.starts_with(kTerminalPrefix)) {
         add_precondition_on_end(key);
-    } else if (key.starts_with(kProgress) && record && records_new_placements(key)) {
-        add_precondition_on_end(kv::end_key(find_recorded_range(ledger_, key).job->spec.id));
+    } else if (key.starts_with(kProgressPrefix) && record && records_new_placements(key)) {
+        add_precondition_on_end(kv::terminal_key(find_recorded_range(state_, key).job->spec.id));
     }
-    if (!key.starts_with(kEnds)) commit_.preconditions.push_back({key, stored.revision(key)});
+    if (!key.starts_with(kTerminalPrefix))
+        commit_.preconditions.push_back({key, stored.revision(key)});
     commit_.bytes += size_in_transaction(key, record);
     commit_.keys.push_back({key, record.has_value()});
     if (!record && !stored.contains(key)) return;  // nothing is there to be removed
@@ -204,7 +207,7 @@
     commit_.writes.push_back({key, std::move(value), std::nullopt});
 }
 
-Commit CommitBuilder::take() {
+StateTransaction TransactionBuilder::take() {
     for (auto* placement : placements_) placement->in_commit = true;
     return std::move(commit_);
 }
--- a/src/state/transaction_builder.hpp
+++ b/src/state/transaction_builder.hpp
@@ -22,7 +22,7 @@
 namespace dunebridge::state {
 
 // A ledger transaction and what it commits.
-struct Commit {
+struct StateTransaction {
     struct WrittenKey {
         std::string key;
         bool set = false;  // else removed
@@ -37,21 +37,22 @@
 };
 
 // What bounds a transaction at the time.
-struct CommitLimits {
+struct TransactionLimits {
     std::size_t writes = 0;
     config::Limits state;
     bool lowered = false;  // the state service has refused a value that fitted before
 };
 
-class CommitBuilder {
+class TransactionBuilder {
   public:
-    CommitBuilder(sansio::Port& port, Ledger& ledger, RecordReplacements& replacements,
-                  CommitLimits limits, wire::Precondition leads);
+    TransactionBuilder(sansio::Context& port, ClusterState& ledger,
+                       RecordReplacements& replacements, TransactionLimits limits,
+                       wire::Precondition leads);
 
     // Adds the record's changes; false if there is no more room in the transaction.
     bool add(const std::string& key);
     // The transaction; the placements that it records count as being committed.
-    Commit take();
+    StateTransaction take();
 
     bool empty() const { return commit_.writes.empty(); }
     // So many writes must be allowed first; 0: enough are.
@@ -72,11 +73,11 @@
     void add_precondition_on_end(const std::string& key);
     bool records_new_placements(const std::string& key);
 
-    sansio::Port& port_;
-    Ledger& ledger_;
+    sansio::Context& context_;
+    ClusterState& state_;
     RecordReplacements& replacements_;
-    const CommitLimits limits_;
-    Commit commit_;
+    const TransactionLimits limits_;
+    StateTransaction commit_;
     std::set<std::string> ends_;  // keys of ends that preconditions are on
     std::vector<Placement*> placements_;
     std::size_t writes_needed_ = 0;
@@ -89,7 +90,7 @@
     Job* job = nullptr;
     const TaskRange* range = nullptr;
 };
-RecordedRange find_recorded_range(Ledger& ledger, const std::string& progress_key);
+RecordedRange find_recorded_range(ClusterState& ledger, const std::string& progress_key);
 
 // How a job ends whose end this leader commits.
 wire::JobPhase end_of(const Job& job);
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -45,7 +45,7 @@
     return Resources{type.cores, type.accelerators, type.ram_gb}.holds(need);
 }
 
-std::string encode(const RentalRequest& r) {
+std::string encode(const ScaleOutRequest& r) {
     Writer w;
     w.map(5)
         .text("claim")
@@ -58,7 +58,7 @@
     return w.take();
 }
 
-RentalRequest decode_rental(Value body) {
+ScaleOutRequest decode_scale_out_request(Value body) {
     return {body["claim"].need_text("claim"), body["shape"].need_text("shape"),
             body["region"].need_text("region"), body["reclaimable"].need_bool("reclaimable"),
             body["how_many"].need_count("how_many")};
--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -31,15 +31,15 @@
 bool can_hold(const MachineType& type, const Resources& need,
               const std::optional<std::vector<std::string>>& machine_types);
 
-struct RentalRequest {
+struct ScaleOutRequest {
     std::string idempotency_key;
     std::string machine_type;
     std::string zone;
     bool spot = false;
     std::uint64_t how_many = 0;
 };
-std::string encode(const RentalRequest& request);
-RentalRequest decode_rental(Value body);
+std::string encode(const ScaleOutRequest& request);
+ScaleOutRequest decode_scale_out_request(Value body);
 
 enum class MachinePhase : std::uint8_t { starting, running, failed };
 struct MachineListing {
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -18,8 +18,8 @@
                                              {"full", ExitReason::full},
                                              {"busy", ExitReason::busy},
                                              {"unknown", ExitReason::unknown}}};
-constexpr Names<Verb, 3> kVerbs{
-    {{"start", Verb::start}, {"halt", Verb::stop}, {"clear", Verb::clear}}};
+constexpr Names<CommandKind, 3> kVerbs{
+    {{"start", CommandKind::start}, {"halt", CommandKind::stop}, {"clear", CommandKind::clear}}};
 
 TaskRef decode_task_ref(Value v) {
     const std::string s = v.need_text("shard");
@@ -32,22 +32,22 @@
     return ref;
 }
 
-void encode_orders(Writer& w, const std::vector<Order>& orders) {
+void encode_orders(Writer& w, const std::vector<TaskCommand>& orders) {
     w.text("orders").list(orders.size());
     for (const auto& o : orders) {
-        w.map(o.verb == Verb::stop ? 4 : 3);
+        w.map(o.verb == CommandKind::stop ? 4 : 3);
         w.text("verb").text(to_name(kVerbs, o.verb));
         w.text("shard").text(o.task.str());
         w.text("try").count(o.attempt.get());
-        if (o.verb == Verb::stop) w.text("drain_s").number(o.grace_s);
+        if (o.verb == CommandKind::stop) w.text("drain_s").number(o.grace_s);
     }
 }
 
 }  // namespace
 
-Report decode_report(Value body) {
+WorkerHeartbeat decode_worker_heartbeat(Value body) {
     if (!body.is_map()) throw DecodeError(DecodeProblem::not_a_map);
-    Report r;
+    WorkerHeartbeat r;
     r.host = HostName(body["host"].need_text("host"));
     if (r.host.get().empty() || r.host.get().size() > 100 ||
         r.host.get().find_first_of(" /") != std::string::npos) {
@@ -63,7 +63,7 @@
     const Value task_count = body["shards"];
     for (std::size_t i = 0; i < task_count.size(); ++i) {
         const Value s = task_count.at(i);
-        TaskReport t;
+        TaskStatus t;
         t.task = decode_task_ref(s["shard"]);
         t.attempt = Attempt(s["try"].need_count("try"));
         t.phase = from_name(kTaskPhases, s["phase"].need_text("phase")).value_or(TaskPhase::other);
@@ -75,7 +75,7 @@
     return r;
 }
 
-std::string encode(const Report& r) {
+std::string encode(const WorkerHeartbeat& r) {
     Writer w;
     w.map(10);
     w.text("host").text(r.host.get());
@@ -103,7 +103,7 @@
     return w.take();
 }
 
-std::string encode_checkin_reply(FencingToken token, const std::vector<Order>& orders) {
+std::string encode_heartbeat_reply(FencingToken token, const std::vector<TaskCommand>& orders) {
     Writer w;
     w.map(2).text("epoch").count(token.get());
     encode_orders(w, orders);
@@ -111,15 +111,15 @@
 }
 
 std::string encode_commands(FencingToken token, std::uint64_t session,
-                            const std::vector<Order>& orders) {
+                            const std::vector<TaskCommand>& orders) {
     Writer w;
     w.map(3).text("epoch").count(token.get()).text("tenure").count(session);
     encode_orders(w, orders);
     return w.take();
 }
 
-Commands decode_commands(Value body) {
-    Commands c;
+CommandBatch decode_commands(Value body) {
+    CommandBatch c;
     c.token = FencingToken(body["epoch"].need_count("epoch"));
     c.session = body["tenure"].count();
     const Value orders = body["orders"];
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -16,7 +16,7 @@
 enum class TaskPhase : std::uint8_t { fetching, running, saving, exited, other };
 enum class ExitReason : std::uint8_t { none, done, stopped, error, full, busy, unknown, other };
 
-struct TaskReport {
+struct TaskStatus {
     TaskRef task;
     Attempt attempt;
     TaskPhase phase = TaskPhase::other;
@@ -25,36 +25,36 @@
 };
 
 // A worker's report: the body of /checkin and the answer of /commands and /inspect.
-struct Report {
+struct WorkerHeartbeat {
     HostName host;
     std::string endpoint;
     std::string machine_type;
     std::string zone;
     bool spot = false;
-    ReportOrder order;
+    HeartbeatSequence order;
     FencingToken token;
     std::optional<double> eviction_s;
-    std::vector<TaskReport> tasks;
+    std::vector<TaskStatus> tasks;
 };
-Report decode_report(Value body);
-std::string encode(const Report& report);
+WorkerHeartbeat decode_worker_heartbeat(Value body);
+std::string encode(const WorkerHeartbeat& report);
 
-enum class Verb : std::uint8_t { start, stop, clear };
-struct Order {
-    Verb verb = Verb::start;
+enum class CommandKind : std::uint8_t { start, stop, clear };
+struct TaskCommand {
+    CommandKind verb = CommandKind::start;
     TaskRef task;
     Attempt attempt;
     double grace_s = 0;
 };
-std::string encode_checkin_reply(FencingToken token, const std::vector<Order>& orders);
+std::string encode_heartbeat_reply(FencingToken token, const std::vector<TaskCommand>& orders);
 std::string encode_commands(FencingToken token, std::uint64_t session,
-                            const std::vector<Order>& orders);
-struct Commands {
+                            const std::vector<TaskCommand>& orders);
+struct CommandBatch {
     FencingToken token;
     std::optional<std::uint64_t> session;
-    std::vector<Order> orders;
+    std::vector<TaskCommand> orders;
 };
-Commands decode_commands(Value body);
+CommandBatch decode_commands(Value body);
 
 std::string encode_redirect(const std::string& leader);
 std::string encode_error(std::string_view error);
--- a/src/workers/command_dispatcher.hpp
+++ b/src/workers/command_dispatcher.hpp
@@ -20,31 +20,32 @@
 
 namespace dunebridge::workers {
 
-class CommandSender {
+class CommandDispatcher {
   public:
-    CommandSender(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
-                  const config::Config& config, ReportProcessor& reports);
+    CommandDispatcher(sansio::Context& port, coordination::Election& election,
+                      state::ClusterState& ledger, const config::Config& config,
+                      HeartbeatProcessor& reports);
 
     // Sends to machines for which commands have been requested.
     void tick();
     // What the worker is to do now; what is started counts as sent.
-    std::vector<wire::Order> orders(state::Machine& machine, Channel channel);
+    std::vector<wire::TaskCommand> orders(state::Machine& machine, Channel channel);
     // Work that an unresponsive machine certainly has not got goes elsewhere.
     void drop_all_unsent(state::Machine& machine);
 
   private:
-    bool add_clears(const state::Machine& machine, std::vector<wire::Order>& orders) const;
-    static void add_stop(const state::Placement& placement, std::vector<wire::Order>& orders);
+    bool add_clears(const state::Machine& machine, std::vector<wire::TaskCommand>& orders) const;
+    static void add_stop(const state::Placement& placement, std::vector<wire::TaskCommand>& orders);
     static bool replaces_exited(const state::Machine& machine, const state::Placement& placement);
     void drop_unsent_to_stop(state::Machine& machine);
     void drop(state::Machine& machine, bool (*condition)(const state::Placement&));
     void send(state::Machine& machine);
     void answered(const HostName& host, const CommandResult& result);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     coordination::Election& election_;
-    state::Ledger& ledger_;
-    ReportProcessor& reports_;
+    state::ClusterState& state_;
+    HeartbeatProcessor& reports_;
     WorkerClient client_;
     std::size_t in_flight_ = 0;
     std::size_t max_in_flight_;
--- a/src/workers/failure_attribution.cpp
+++ b/src/workers/failure_attribution.cpp
@@ -32,8 +32,8 @@
 
 void FailureAttribution::clear_job(Job& job) {
     if (job.failures.faulty) {
-        port_.log(LogLevel::info, "event=job_recovered id={}", job.spec.id.get());
-        job.retry_at = port_.now();
+        context_.log(LogLevel::info, "event=job_recovered id={}", job.spec.id.get());
+        job.backoff_until = context_.now();
     }
     job.failures = {};
     job.pause = Millis(0);
@@ -46,22 +46,22 @@
     ++machine.worker.failures[job.spec.id];
     if (failed_everywhere(job)) {
         blame_job(job);
-    } else if (!machine.draining && evidence_against(machine) >= kEvidenceToBlameMachine) {
+    } else if (!machine.cordoned && evidence_against(machine) >= kEvidenceToBlameMachine) {
         blame_machine(machine);
     }
 }
 
 // Failures that come while the job pauses are of tasks started before: they do not count again.
 void FailureAttribution::pause(Job& job) {
-    if (port_.now() < job.retry_at) return;
+    if (context_.now() < job.backoff_until) return;
     job.pause = std::clamp(job.pause * 2, kLeastPause, kMaxPause);
-    job.retry_at = port_.now() + job.pause + port_.jitter(job.pause / kJitterPart);
+    job.backoff_until = context_.now() + job.pause + context_.jitter(job.pause / kJitterPart);
 }
 
 std::uint32_t FailureAttribution::evidence_against(const Machine& machine) const {
     std::uint32_t evidence = 0;
     for (const auto& [id, failures] : machine.worker.failures) {
-        const auto* job = ledger_.find_job(id);
+        const auto* job = state_.find_job(id);
         const bool proven = job && job->done > 0;
         evidence += proven ? kProvenJob * std::min(failures, kFailuresThatCount) : kUnprovenJob;
     }
@@ -71,8 +71,8 @@
 bool FailureAttribution::failed_everywhere(const Job& job) const {
     const auto& machines = job.failures.machines;
     const auto undoubted = std::count_if(machines.begin(), machines.end(), [&](const auto& host) {
-        const auto* machine = ledger_.find_machine(host);
-        if (!machine || machine->draining) return false;
+        const auto* machine = state_.find_machine(host);
+        if (!machine || machine->cordoned) return false;
         const auto& failures = machine->worker.failures;
         return failures.empty() || (failures.size() == 1 && failures.contains(job.spec.id));
     });
@@ -81,27 +81,27 @@
 }
 
 void FailureAttribution::blame_job(Job& job) {
-    port_.log(LogLevel::info, "event=job_faulty id={} machines={}", job.spec.id.get(),
-              job.failures.machines.size());
+    context_.log(LogLevel::info, "event=job_faulty id={} machines={}", job.spec.id.get(),
+                 job.failures.machines.size());
     job.failures.faulty = true;
     job.failures.machines.clear();
-    for (auto& [host, machine] : ledger_.machines()) {
+    for (auto& [host, machine] : state_.machines()) {
         if (machine.worker.failures.erase(job.spec.id) > 0) withdraw_blame(machine);
     }
 }
 
 void FailureAttribution::blame_machine(Machine& machine) {
-    machine.draining = true;
-    port_.log(LogLevel::info, "event=machine_faulty host={}", machine.host.get());
+    machine.cordoned = true;
+    context_.log(LogLevel::info, "event=machine_faulty host={}", machine.host.get());
     for (const auto& [id, failures] : machine.worker.failures) {
-        if (auto* job = ledger_.find_job(id)) job->failures.machines.erase(machine.host);
+        if (auto* job = state_.find_job(id)) job->failures.machines.erase(machine.host);
     }
 }
 
 void FailureAttribution::withdraw_blame(Machine& machine) {
-    if (!machine.draining || evidence_against(machine) >= kEvidenceToBlameMachine) return;
-    machine.draining = false;
-    port_.log(LogLevel::info, "event=machine_cleared host={}", machine.host.get());
+    if (!machine.cordoned || evidence_against(machine) >= kEvidenceToBlameMachine) return;
+    machine.cordoned = false;
+    context_.log(LogLevel::info, "event=machine_cleared host={}", machine.host.get());
 }
 
 }  // namespace dunebridge::workers
--- a/src/workers/failure_attribution.hpp
+++ b/src/workers/failure_attribution.hpp
@@ -18,7 +18,8 @@
 
 class FailureAttribution {
   public:
-    FailureAttribution(sansio::Port& port, state::Ledger& ledger) : port_(port), ledger_(ledger) {}
+    FailureAttribution(sansio::Context& port, state::ClusterState& ledger)
+        : context_(port), state_(ledger) {}
 
     void succeeded(state::Job& job, state::Machine& machine);
     void failed(state::Job& job, state::Machine& machine);
@@ -33,8 +34,8 @@
     void blame_machine(state::Machine& machine);
     void withdraw_blame(state::Machine& machine);
 
-    sansio::Port& port_;
-    state::Ledger& ledger_;
+    sansio::Context& context_;
+    state::ClusterState& state_;
 };
 
 }  // namespace dunebridge::workers
--- a/src/workers/fencing_token.hpp
+++ b/src/workers/fencing_token.hpp
@@ -13,8 +13,8 @@
 
 inline constexpr int kFenceBits = 20;
 
-inline FencingToken make_token(Term term, std::uint64_t fence) {
-    return FencingToken(term.get() << kFenceBits | fence);
+inline FencingToken make_token(Term term, std::uint64_t fence_counter) {
+    return FencingToken(term.get() << kFenceBits | fence_counter);
 }
 inline Term term_of(FencingToken token) { return Term(token.get() >> kFenceBits); }
 // The term of the leader that placed the attempt.
--- a/src/workers/heartbeat_processor.cpp
+++ b/src/workers/heartbeat_processor.cpp
@@ -10,109 +10,109 @@
 namespace dunebridge::workers {
 
 using sansio::LogLevel;
-using state::Exited;
+using state::ExitedTask;
 using state::Job;
 using state::Machine;
 using state::Placement;
 using state::PlacementKey;
 using state::StartDelivery;
 using wire::ExitReason;
-using wire::Report;
 using wire::TaskPhase;
-using wire::TaskReport;
+using wire::TaskStatus;
+using wire::WorkerHeartbeat;
 
 namespace {
 // After a worker that refused a task as it had no room.
 constexpr Millis kRefusedPause{2000};
 
-bool lists(const Report& report, const Placement& placement) {
-    return std::any_of(report.tasks.begin(), report.tasks.end(), [&](const TaskReport& task) {
+bool lists(const WorkerHeartbeat& report, const Placement& placement) {
+    return std::any_of(report.tasks.begin(), report.tasks.end(), [&](const TaskStatus& task) {
         return task.attempt == placement.attempt && task.task.index == placement.index &&
                task.task.job == placement.job->spec.id;
     });
 }
 
-bool lists_attempt(const Report& report, Attempt attempt) {
+bool lists_attempt(const WorkerHeartbeat& report, Attempt attempt) {
     return std::any_of(report.tasks.begin(), report.tasks.end(),
-                       [&](const TaskReport& task) { return task.attempt == attempt; });
+                       [&](const TaskStatus& task) { return task.attempt == attempt; });
 }
 }  // namespace
 
-ReportProcessor::ReportProcessor(sansio::Port& port, coordination::Election& election,
-                                 state::Ledger& ledger,
-                                 std::function<void(const Finished&)> finished)
-    : port_(port),
+HeartbeatProcessor::HeartbeatProcessor(sansio::Context& port, coordination::Election& election,
+                                       state::ClusterState& ledger,
+                                       std::function<void(const Finished&)> finished)
+    : context_(port),
       election_(election),
-      ledger_(ledger),
+      state_(ledger),
       failures_(port, ledger),
       finished_(std::move(finished)) {}
 
-bool ReportProcessor::of_this_term(const Placement& placement) const {
+bool HeartbeatProcessor::of_this_term(const Placement& placement) const {
     return term_of(placement.attempt) == election_.term();
 }
 
-bool ReportProcessor::apply(Machine& machine, const Report& report, Channel channel) {
-    if (report.token > make_token(election_.term(), machine.worker.fence)) {
+bool HeartbeatProcessor::apply(Machine& machine, const WorkerHeartbeat& report, Channel channel) {
+    if (report.token > make_token(election_.term(), machine.worker.fence_counter)) {
         election_.depose(term_of(report.token));
         return false;
     }
     // A report that was held back on its way is older than one already applied.
     if (machine.worker.reported && report.order <= machine.worker.last) return true;
     if (!machine.worker.reported) {
-        port_.log(LogLevel::info, "event=machine_up host={} type={} after_s={:.1f}",
-                  machine.host.get(), machine.machine_type,
-                  to_seconds(port_.now() - machine.cloud.rented_at));
-        machine.idle_since = port_.now();
+        context_.log(LogLevel::info, "event=machine_up host={} type={} after_s={:.1f}",
+                     machine.host.get(), machine.machine_type,
+                     to_seconds(context_.now() - machine.cloud.provisioned_at));
+        machine.idle_since = context_.now();
     }
     update_lease(machine, report);
     update_worker(machine, report);
-    if (report.eviction_s) take_notice(machine, *report.eviction_s);
+    if (report.eviction_s) apply_preemption_notice(machine, *report.eviction_s);
     apply_listed(machine, report);
     reconcile(machine, report, channel);
     return true;
 }
 
-void ReportProcessor::update_lease(Machine& machine, const Report& report) {
+void HeartbeatProcessor::update_lease(Machine& machine, const WorkerHeartbeat& report) {
     auto& worker = machine.worker;
     // A new session has a lease of its own, from when it began: not later than now.
     if (worker.reported && report.order.session > worker.last.session) {
-        worker.last_reply = port_.now();
+        worker.last_reply_at = context_.now();
     }
     // Until the worker showed this term, an earlier holder could renew its lease.
     const auto shown = term_of(report.token);
     if (shown == election_.term() && term_of(worker.shown) != shown) {
-        worker.last_reply = port_.now();
+        worker.last_reply_at = context_.now();
     }
 }
 
-void ReportProcessor::update_worker(Machine& machine, const Report& report) {
+void HeartbeatProcessor::update_worker(Machine& machine, const WorkerHeartbeat& report) {
     machine.worker.reported = true;
-    ledger_.describe(machine, report.machine_type, report.zone, report.spot);
+    state_.describe(machine, report.machine_type, report.zone, report.spot);
     machine.cloud.starting = false;
     machine.worker.last = report.order;
     machine.worker.shown = report.token;
-    machine.worker.last_report = port_.now();
+    machine.worker.last_heartbeat_at = context_.now();
     machine.endpoint = report.endpoint;
 }
 
-void ReportProcessor::take_notice(Machine& machine, double eviction_s) {
-    const auto at = port_.now() + from_seconds(eviction_s);
-    if (!machine.taken_at) {
-        port_.log(LogLevel::info, "event=notice host={} in_s={:.1f}", machine.host.get(),
-                  eviction_s);
+void HeartbeatProcessor::apply_preemption_notice(Machine& machine, double eviction_s) {
+    const auto at = context_.now() + from_seconds(eviction_s);
+    if (!machine.preemption_at) {
+        context_.log(LogLevel::info, "event=notice host={} in_s={:.1f}", machine.host.get(),
+                     eviction_s);
     }
-    machine.taken_at = machine.taken_at ? std::min(*machine.taken_at, at) : at;
+    machine.preemption_at = machine.preemption_at ? std::min(*machine.preemption_at, at) : at;
 }
 
 // ---- what the report lists ----
 
 // It is true whatever the token: an attempt that has exited stays exited.
-void ReportProcessor::apply_listed(Machine& machine, const Report& report) {
+void HeartbeatProcessor::apply_listed(Machine& machine, const WorkerHeartbeat& report) {
     const auto known_exited = std::move(machine.worker.exited);
     machine.worker.exited.clear();
-    machine.worker.unexpected_tasks.clear();
+    machine.worker.unrecorded_tasks.clear();
     for (const auto& task : report.tasks) {
-        const Job* job = ledger_.find_job(task.task.job);
+        const Job* job = state_.find_job(task.task.job);
         const auto it =
             job ? machine.tasks.find({job->sequence, task.task.index}) : machine.tasks.end();
         const bool recorded = it != machine.tasks.end() && it->second.attempt == task.attempt;
@@ -125,84 +125,86 @@
     }
 }
 
-void ReportProcessor::apply_unexited(Machine& machine, const Report& report, const TaskReport& task,
-                                     Placement* placement) {
+void HeartbeatProcessor::apply_unexited(Machine& machine, const WorkerHeartbeat& report,
+                                        const TaskStatus& task, Placement* placement) {
     if (!placement) {
-        machine.worker.unexpected_tasks.push_back({task.task, task.attempt});
-        ledger_.request_commands(machine);
+        machine.worker.unrecorded_tasks.push_back({task.task, task.attempt});
+        state_.request_commands(machine);
         return;
     }
     placement->seen = true;
     placement->session = std::max(placement->session, report.order.session);
     placement->phase = task.phase;
     if (task.phase != TaskPhase::running) return;
-    ledger_.set_running(*placement, true);
+    state_.set_running(*placement, true);
     machine.images.insert(placement->job->spec.image);
 }
 
-void ReportProcessor::apply_exited(Machine& machine, const TaskReport& task, Placement* placement,
-                                   const std::vector<Exited>& known) {
-    Exited entry{task.task, task.attempt, {}, 0, 0};
+void HeartbeatProcessor::apply_exited(Machine& machine, const TaskStatus& task,
+                                      Placement* placement, const std::vector<ExitedTask>& known) {
+    ExitedTask entry{task.task, task.attempt, {}, 0, 0};
     if (placement) {
-        entry.refused_from = placement->refused_from;
+        entry.fenced_from = placement->fenced_from;
     } else if (term_of(task.attempt) == election_.term()) {
-        entry.refused_from = machine.worker.fence + 1;
+        entry.fenced_from = machine.worker.fence_counter + 1;
     }
-    Job* job = ledger_.find_job(task.task.job);
+    Job* job = state_.find_job(task.task.job);
     if (job) {
         entry.record = state::progress_key(*job, task.task.index);
-        entry.outcome = ledger_.version();
+        entry.outcome = state_.version();
     }
     for (const auto& earlier : known) {
         if (earlier.task != task.task || earlier.attempt != task.attempt) continue;
         entry.outcome = earlier.outcome;
-        entry.refused_from = earlier.refused_from;
+        entry.fenced_from = earlier.fenced_from;
     }
     if (placement) {
         exited(machine, *placement, task);
-        entry.outcome = ledger_.version();
+        entry.outcome = state_.version();
     } else if (job && task.reason == ExitReason::done) {
         // Completed under a record that an earlier leader no longer held; the result counts.
-        ledger_.mark_done(*job, task.task.index);
-        entry.outcome = std::max(entry.outcome, ledger_.version());
+        state_.mark_done(*job, task.task.index);
+        entry.outcome = std::max(entry.outcome, state_.version());
     }
     machine.worker.exited.push_back(std::move(entry));
 }
 
-void ReportProcessor::exited(Machine& machine, Placement& placement, const TaskReport& task) {
+void HeartbeatProcessor::exited(Machine& machine, Placement& placement, const TaskStatus& task) {
     Job& job = *placement.job;
     const auto index = placement.index;
-    port_.log(LogLevel::debug, "event=task_exited task={} try={} why={} host={}", task.task.str(),
-              task.attempt.get(), static_cast<int>(task.reason), machine.host.get());
+    context_.log(LogLevel::debug, "event=task_exited task={} try={} why={} host={}",
+                 task.task.str(), task.attempt.get(), static_cast<int>(task.reason),
+                 machine.host.get());
     switch (task.reason) {
         case ExitReason::done:
             if (placement.running_since != Instant{}) {
-                finished_({&job, &machine, to_seconds(port_.now() - placement.running_since)});
+                finished_({&job, &machine, to_seconds(context_.now() - placement.running_since)});
             }
             failures_.succeeded(job, machine);
-            ledger_.mark_done(job, index);
+            state_.mark_done(job, index);
             break;
         case ExitReason::error:
             failures_.failed(job, machine);
             break;
         case ExitReason::full:
-            machine.worker.refused_until = port_.now() + kRefusedPause;
+            machine.worker.refused_until = context_.now() + kRefusedPause;
             break;
         case ExitReason::busy:
         case ExitReason::unknown:
             failures_.pause(job);
             break;
         default:
-            if (placement.preempted) ledger_.mark_shielded(job, index);
+            if (placement.preempted) state_.mark_preemption_protected(job, index);
     }
-    ledger_.remove(machine, {job.sequence, index});
+    state_.remove(machine, {job.sequence, index});
 }
 
 // ---- what the report lacks ----
 
 // It is proof only if no command of an older token, no direct command under way and no check-in
 // answer still to be delivered can yet start the task.
-void ReportProcessor::reconcile(Machine& machine, const Report& report, Channel channel) {
+void HeartbeatProcessor::reconcile(Machine& machine, const WorkerHeartbeat& report,
+                                   Channel channel) {
     bool answer_lost = false;
     std::vector<PlacementKey> gone;
     for (auto& [key, placement] : machine.tasks) {
@@ -210,41 +212,45 @@
         const auto verdict = judge(machine, placement, report, channel);
         if (verdict == Verdict::gone) gone.push_back(key);
         if (verdict != Verdict::start_lost) continue;
-        placement.sent = StartDelivery::never;  // it may be sent again
+        placement.sent = StartDelivery::not_sent;  // it may be sent again
         // Only an answer that did not arrive loses a start: the machine is to show the next.
-        if (channel == Channel::checkin && !machine.worker.command_in_flight) answer_lost = true;
-        ledger_.request_commands(machine);
+        if (channel == Channel::heartbeat && !machine.worker.command_in_flight) answer_lost = true;
+        state_.request_commands(machine);
     }
-    if (answer_lost) ++machine.worker.fence;
-    for (const auto& key : gone) ledger_.remove(machine, key);
+    if (answer_lost) ++machine.worker.fence_counter;
+    for (const auto& key : gone) state_.remove(machine, key);
 }
 
 // A later session has forgotten the tasks of earlier ones, and takes no command of theirs. What an
 // earlier leader may have sent to this session counts until it is fenced off.
-bool ReportProcessor::forgotten_with_session(const Placement& placement,
-                                             const Report& report) const {
+bool HeartbeatProcessor::forgotten_with_session(const Placement& placement,
+                                                const WorkerHeartbeat& report) const {
     const bool shows_term = term_of(report.token) == election_.term();
     return placement.session != 0 && report.order.session > placement.session &&
            (of_this_term(placement) || shows_term) && !lists_attempt(report, placement.attempt);
 }
 
-ReportProcessor::Verdict ReportProcessor::judge(const Machine& machine, Placement& placement,
-                                                const Report& report, Channel channel) const {
+HeartbeatProcessor::Verdict HeartbeatProcessor::judge(const Machine& machine, Placement& placement,
+                                                      const WorkerHeartbeat& report,
+                                                      Channel channel) const {
     if (forgotten_with_session(placement, report)) return Verdict::gone;
-    if (channel == Channel::checkin) placement.in_checkin_answer = false;
+    if (channel == Channel::heartbeat) placement.in_heartbeat_reply = false;
     const auto sent = placement.sent;
-    if (sent == StartDelivery::never || sent == StartDelivery::direct) return Verdict::unknown;
+    if (sent == StartDelivery::not_sent || sent == StartDelivery::in_direct_command)
+        return Verdict::unknown;
     // A check-in's answer is read before the next check-in is made, or never: whatever token that
     // one shows, a start it lacks was lost.
-    const bool lost_start =
-        !placement.seen && sent == StartDelivery::checkin && channel == Channel::checkin;
-    const bool shows_token = report.token == make_token(election_.term(), machine.worker.fence);
+    const bool lost_start = !placement.seen && sent == StartDelivery::in_heartbeat_reply &&
+                            channel == Channel::heartbeat;
+    const bool shows_token =
+        report.token == make_token(election_.term(), machine.worker.fence_counter);
     if (!shows_token && !lost_start) return Verdict::unknown;
     if (lists(report, placement)) {
-        placement.sent = StartDelivery::settled;
+        placement.sent = StartDelivery::awaiting_confirmation;
         return Verdict::unknown;
     }
-    if (sent == StartDelivery::checkin && channel == Channel::direct) return Verdict::unknown;
+    if (sent == StartDelivery::in_heartbeat_reply && channel == Channel::direct_command)
+        return Verdict::unknown;
     // What an earlier leader has placed is placed anew rather than started: it may have given the
     // room and the quota to others before its end, and had no time to say so on record.
     const bool not_to_start = placement.seen || must_stop(placement) || !of_this_term(placement);
--- a/src/workers/heartbeat_processor.hpp
+++ b/src/workers/heartbeat_processor.hpp
@@ -30,38 +30,38 @@
     double ran_s = 0;
 };
 
-class ReportProcessor {
+class HeartbeatProcessor {
   public:
-    ReportProcessor(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
-                    std::function<void(const Finished&)> finished);
+    HeartbeatProcessor(sansio::Context& port, coordination::Election& election,
+                       state::ClusterState& ledger, std::function<void(const Finished&)> finished);
 
     // Returns false if the report shows that this leader has been superseded. An older report than
     // the last changes nothing.
-    bool apply(state::Machine& machine, const wire::Report& report, Channel channel);
+    bool apply(state::Machine& machine, const wire::WorkerHeartbeat& report, Channel channel);
 
   private:
     // What follows from a report for a placement.
     enum class Verdict : std::uint8_t { unknown, gone, start_lost };
 
-    void update_lease(state::Machine& machine, const wire::Report& report);
-    void update_worker(state::Machine& machine, const wire::Report& report);
-    void take_notice(state::Machine& machine, double eviction_s);
-    void apply_listed(state::Machine& machine, const wire::Report& report);
-    void apply_unexited(state::Machine& machine, const wire::Report& report,
-                        const wire::TaskReport& task, state::Placement* placement);
-    void apply_exited(state::Machine& machine, const wire::TaskReport& task,
-                      state::Placement* placement, const std::vector<state::Exited>& known);
-    void reconcile(state::Machine& machine, const wire::Report& report, Channel channel);
+    void update_lease(state::Machine& machine, const wire::WorkerHeartbeat& report);
+    void update_worker(state::Machine& machine, const wire::WorkerHeartbeat& report);
+    void apply_preemption_notice(state::Machine& machine, double eviction_s);
+    void apply_listed(state::Machine& machine, const wire::WorkerHeartbeat& report);
+    void apply_unexited(state::Machine& machine, const wire::WorkerHeartbeat& report,
+                        const wire::TaskStatus& task, state::Placement* placement);
+    void apply_exited(state::Machine& machine, const wire::TaskStatus& task,
+                      state::Placement* placement, const std::vector<state::ExitedTask>& known);
+    void reconcile(state::Machine& machine, const wire::WorkerHeartbeat& report, Channel channel);
     Verdict judge(const state::Machine& machine, state::Placement& placement,
-                  const wire::Report& report, Channel channel) const;
+                  const wire::WorkerHeartbeat& report, Channel channel) const;
     bool forgotten_with_session(const state::Placement& placement,
-                                const wire::Report& report) const;
-    void exited(state::Machine& machine, state::Placement& placement, const wire::TaskReport& task);
+                                const wire::WorkerHeartbeat& report) const;
+    void exited(state::Machine& machine, state::Placement& placement, const wire::TaskStatus& task);
     bool of_this_term(const state::Placement& placement) const;
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     coordination::Election& election_;
-    state::Ledger& ledger_;
+    state::ClusterState& state_;
     FailureAttribution failures_;
     std::function<void(const Finished&)> finished_;
 };
--- a/src/workers/worker_client.hpp
+++ b/src/workers/worker_client.hpp
@@ -15,21 +15,21 @@
     // Certainly not executed, now or later. Without it they may have been, or may yet be.
     bool unexecuted = false;
     // The worker's report after the commands.
-    std::optional<wire::Report> report;
+    std::optional<wire::WorkerHeartbeat> report;
 };
 
 class WorkerClient {
   public:
-    explicit WorkerClient(sansio::Port& port) : port_(port) {}
+    explicit WorkerClient(sansio::Context& port) : context_(port) {}
 
     void send(const state::Machine& machine, FencingToken token,
-              const std::vector<wire::Order>& orders,
+              const std::vector<wire::TaskCommand>& orders,
               std::function<void(const CommandResult&)> then);
 
   private:
-    CommandResult read(const HostName& host, const sansio::HttpReply& reply);
+    CommandResult read(const HostName& host, const sansio::HttpResult& reply);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
 };
 
 }  // namespace dunebridge::workers
--- a/src/workers/worker_conditions.hpp
+++ b/src/workers/worker_conditions.hpp
@@ -9,8 +9,8 @@
 
 // How a report or orders travel.
 enum class Channel : std::uint8_t {
-    checkin,  // a report that the worker sends, and the answer to it
-    direct    // a command that the leader sends, and the answer to it
+    heartbeat,      // a report that the worker sends, and the answer to it
+    direct_command  // a command that the leader sends, and the answer to it
 };
 
 // Answers that may be lost one after the other before a machine is taken for unresponsive.
@@ -22,13 +22,14 @@
 }
 
 inline bool must_stop(const state::Placement& placement) {
-    return placement.stopping || placement.job->state == state::JobState::ended ||
+    return placement.stopping || placement.job->state == state::JobState::terminal ||
            placement.job->tasks[placement.index].done;
 }
 
 // No command for it has left this leader, and the worker has not shown it.
 inline bool never_sent(const state::Placement& placement) {
-    return placement.committed && placement.sent == state::StartDelivery::never && !placement.seen;
+    return placement.committed && placement.sent == state::StartDelivery::not_sent &&
+           !placement.seen;
 }
 
 }  // namespace dunebridge::workers
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -28,121 +28,123 @@
 constexpr int kRetryAfter_s = 1;
 }  // namespace
 
-Workers::Workers(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
-                 const config::Config& config, std::function<void(const Finished&)> finished)
-    : port_(port),
+WorkerManager::WorkerManager(sansio::Context& port, coordination::Election& election,
+                             state::ClusterState& ledger, const config::Config& config,
+                             std::function<void(const Finished&)> finished)
+    : context_(port),
       election_(election),
-      ledger_(ledger),
+      state_(ledger),
       config_(config),
       reports_(port, election, ledger, std::move(finished)),
       commands_(port, election, ledger, config, reports_) {}
 
-void Workers::reset() {
+void WorkerManager::reset() {
     deleted_.clear();
     unknown_workers_.clear();
 }
 
-FencingToken Workers::token(const Machine& machine) const {
-    return make_token(election_.term(), machine.worker.fence);
+FencingToken WorkerManager::token(const Machine& machine) const {
+    return make_token(election_.term(), machine.worker.fence_counter);
 }
 
 // ---- state of a machine ----
 
-bool Workers::shown_this_term(const Machine& machine) const {
+bool WorkerManager::shown_this_term(const Machine& machine) const {
     return term_of(machine.worker.shown) == election_.term();
 }
 
-bool Workers::silent(const Machine& machine, Millis limit) const {
+bool WorkerManager::silent(const Machine& machine, Millis limit) const {
     const auto& worker = machine.worker;
-    return port_.now() - (worker.reported ? worker.last_report : worker.known_since) > limit;
+    return context_.now() - (worker.reported ? worker.last_heartbeat_at : worker.known_since) >
+           limit;
 }
 
-bool Workers::late(const Machine& machine) const {
+bool WorkerManager::late(const Machine& machine) const {
     return silent(machine, config_.report * 2 + kLateMargin);
 }
 
-Millis Workers::unresponsive_for(const Machine& machine) const {
-    return unresponsive(machine) ? port_.now() - machine.worker.unacknowledged_since : Millis(0);
+Millis WorkerManager::unresponsive_for(const Machine& machine) const {
+    return unresponsive(machine) ? context_.now() - machine.worker.unacknowledged_since : Millis(0);
 }
 
-bool Workers::usable(const Machine& machine) const {
+bool WorkerManager::usable(const Machine& machine) const {
     const auto& worker = machine.worker;
-    const bool leaving = machine.draining || machine.cloud.deleting || machine.cloud.failed ||
-                         machine.taken_at.has_value();
+    const bool releasing = machine.cordoned || machine.cloud.deleting || machine.cloud.failed ||
+                           machine.preemption_at.has_value();
     const bool in_touch =
         worker.reported && shown_this_term(machine) && !late(machine) && !unresponsive(machine);
     // Direct commands do not renew the lease: without check-ins it runs out.
-    const bool lease_lasts = port_.now() - worker.last_reply <= config_.lease / 2;
-    return in_touch && !leaving && lease_lasts && port_.now() >= worker.refused_until;
+    const bool lease_lasts = context_.now() - worker.last_reply_at <= config_.lease / 2;
+    return in_touch && !releasing && lease_lasts && context_.now() >= worker.refused_until;
 }
 
-void Workers::deleted(const HostName& host) {
-    deleted_[host] = port_.now();
+void WorkerManager::mark_released(const HostName& host) {
+    deleted_[host] = context_.now();
     std::erase_if(deleted_,
-                  [&](const auto& d) { return port_.now() - d.second > kRememberDeleted; });
+                  [&](const auto& d) { return context_.now() - d.second > kRememberDeleted; });
 }
 
-void Workers::stop(Machine& machine, Placement& placement, double grace_s) {
+void WorkerManager::stop(Machine& machine, Placement& placement, double grace_s) {
     if (placement.stopping) return;
-    ledger_.set_stopping(placement);
+    state_.set_stopping(placement);
     placement.grace_s = grace_s;
-    ledger_.request_commands(machine);
+    state_.request_commands(machine);
 }
 
 // ---- check-ins ----
 
-void Workers::refuse(RequestId id, const char* why) {
-    port_.answer(id, 503, wire::encode_error(why), kRetryAfter_s);
+void WorkerManager::refuse(RequestId id, const char* why) {
+    context_.answer(id, 503, wire::encode_error(why), kRetryAfter_s);
 }
 
-void Workers::checkin(RequestId id, const wire::Report& report) {
+void WorkerManager::checkin(RequestId id, const wire::WorkerHeartbeat& report) {
     auto* machine = machine_of(id, report);
     if (!machine) return;
     auto& worker = machine->worker;
     // A worker's check-ins come in order, one at a time: this is a late copy, or one that it has
     // given up. Nobody waits for the answer, and it must not count as one.
-    if (worker.reported && report.order <= worker.last_checkin) {
+    if (worker.reported && report.order <= worker.last_heartbeat_request) {
         refuse(id, "overtaken");
         return;
     }
-    worker.last_checkin = report.order;
-    if (!reports_.apply(*machine, report, Channel::checkin)) {
+    worker.last_heartbeat_request = report.order;
+    if (!reports_.apply(*machine, report, Channel::heartbeat)) {
         refuse(id, "superseded");
         return;
     }
     count_unacknowledged(*machine);
-    worker.last_reply = port_.now();
+    worker.last_reply_at = context_.now();
     // The worker has given up on a report that newer ones overtook: it will not read the answer.
-    std::vector<wire::Order> orders;
-    if (worker.last == report.order) orders = commands_.orders(*machine, Channel::checkin);
-    port_.answer(id, 200, wire::encode_checkin_reply(token(*machine), orders));
+    std::vector<wire::TaskCommand> orders;
+    if (worker.last == report.order) orders = commands_.orders(*machine, Channel::heartbeat);
+    context_.answer(id, 200, wire::encode_heartbeat_reply(token(*machine), orders));
 }
 
 // The machine that reports; null if the request is answered already.
-Machine* Workers::machine_of(RequestId id, const wire::Report& report) {
-    if (was_deleted(report.host)) {
+Machine* WorkerManager::machine_of(RequestId id, const wire::WorkerHeartbeat& report) {
+    if (was_released(report.host)) {
         refuse(id, "returned");
         return nullptr;
     }
-    if (auto* known = ledger_.find_machine(report.host)) return known;
+    if (auto* known = state_.find_machine(report.host)) return known;
     if (answer_unknown_worker(id, report)) return nullptr;
     // Rented by a request whose answer was lost, or before this term: used, or returned idle.
-    port_.log(LogLevel::info, "event=machine_unexpected host={}", report.host.get());
-    return &ledger_.add_machine(report.host, report.machine_type, report.zone, report.spot);
+    context_.log(LogLevel::info, "event=machine_unexpected host={}", report.host.get());
+    return &state_.add_machine(report.host, report.machine_type, report.zone, report.spot);
 }
 
-void Workers::count_unacknowledged(Machine& machine) const {
+void WorkerManager::count_unacknowledged(Machine& machine) const {
     auto& worker = machine.worker;
     if (worker.shown == token(machine)) {
         worker.unacknowledged = 0;
     } else if (worker.unacknowledged++ == 0) {
-        worker.unacknowledged_since = port_.now();
+        worker.unacknowledged_since = context_.now();
     }
 }
 
 // A host that no record names: a late report of a machine that is long gone must not bring it
 // back. It is given the token, and used once it shows it.
-bool Workers::answer_unknown_worker(RequestId id, const wire::Report& report) {
+bool WorkerManager::answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& report) {
     if (term_of(report.token) == election_.term()) {
         unknown_workers_.erase(report.host);
         return false;
@@ -151,40 +153,40 @@
         refuse(id, "too many unknown workers");
         return true;
     }
-    unknown_workers_.try_emplace(report.host, port_.now());
-    port_.answer(id, 200, wire::encode_checkin_reply(make_token(election_.term(), 0), {}));
+    unknown_workers_.try_emplace(report.host, context_.now());
+    context_.answer(id, 200, wire::encode_heartbeat_reply(make_token(election_.term(), 0), {}));
     return true;
 }
 
 // ---- time ----
 
-void Workers::expire_lease(Machine& machine) {
+void WorkerManager::expire_lease(Machine& machine) {
     if (!machine.worker.reported || !shown_this_term(machine)) return;
     const auto lease_ms = static_cast<double>(config_.lease.count()) * kDrift;
     const auto lease = Millis(static_cast<std::int64_t>(lease_ms)) + kLeaseMargin;
-    if (port_.now() - machine.worker.last_reply <= lease || machine.tasks.empty()) return;
-    port_.log(LogLevel::info, "event=lease_over host={} tasks={}", machine.host.get(),
-              machine.tasks.size());
+    if (context_.now() - machine.worker.last_reply_at <= lease || machine.tasks.empty()) return;
+    context_.log(LogLevel::info, "event=lease_over host={} tasks={}", machine.host.get(),
+                 machine.tasks.size());
     std::vector<PlacementKey> gone;
     for (const auto& [key, placement] : machine.tasks) {
         if (placement.committed) gone.push_back(key);
     }
-    for (const auto& key : gone) ledger_.remove(machine, key);
+    for (const auto& key : gone) state_.remove(machine, key);
 }
 
-void Workers::sweep() {
+void WorkerManager::sweep() {
     std::erase_if(unknown_workers_, [&](const auto& worker) {
-        return port_.now() - worker.second > kForgetUnknownWorkers;
+        return context_.now() - worker.second > kForgetUnknownWorkers;
     });
-    for (auto& [host, machine] : ledger_.machines()) {
+    for (auto& [host, machine] : state_.machines()) {
         expire_lease(machine);
         if (unresponsive(machine)) commands_.drop_all_unsent(machine);
     }
 }
 
-void Workers::tick() {
-    if (port_.now() >= next_sweep_) {
-        next_sweep_ = port_.now() + kSweepEvery;
+void WorkerManager::tick() {
+    if (context_.now() >= next_sweep_) {
+        next_sweep_ = context_.now() + kSweepEvery;
         sweep();
     }
     commands_.tick();
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -1,7 +1,7 @@
 // The leader's side of the workers: check-ins, leases, and which machines can be given work.
 //
 // A placement leaves the ledger only once it is proved gone, by any one of:
-//  - a report (workers/report_processor.hpp);
+//  - a report (workers/heartbeat_processor.hpp);
 //  - the end of the worker's lease, with drift, since the last reply, once the worker has itself
 //    shown a token of this term, so that no earlier leader can have renewed it (expire_leases());
 //  - the cloud, which reports the machine as failed or has confirmed its deletion (provisioning/).
@@ -21,13 +21,14 @@
 
 namespace dunebridge::workers {
 
-class Workers {
+class WorkerManager {
   public:
-    Workers(sansio::Port& port, coordination::Election& election, state::Ledger& ledger,
-            const config::Config& config, std::function<void(const Finished&)> finished);
+    WorkerManager(sansio::Context& port, coordination::Election& election,
+                  state::ClusterState& ledger, const config::Config& config,
+                  std::function<void(const Finished&)> finished);
 
     // Answers a worker's report with its orders.
-    void checkin(RequestId id, const wire::Report& report);
+    void checkin(RequestId id, const wire::WorkerHeartbeat& report);
     void tick();
     // Another term begins.
     void reset();
@@ -44,25 +45,25 @@
     // Stops the task. It may save its state for so long first.
     void stop(state::Machine& machine, state::Placement& placement, double grace_s);
     // The cloud has deleted the machine at the service's wish: late reports must not revive it.
-    void deleted(const HostName& host);
-    bool was_deleted(const HostName& host) const { return deleted_.contains(host); }
+    void mark_released(const HostName& host);
+    bool was_released(const HostName& host) const { return deleted_.contains(host); }
 
   private:
-    state::Machine* machine_of(RequestId id, const wire::Report& report);
+    state::Machine* machine_of(RequestId id, const wire::WorkerHeartbeat& report);
     bool shown_this_term(const state::Machine& machine) const;
-    bool answer_unknown_worker(RequestId id, const wire::Report& report);
+    bool answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& report);
     void count_unacknowledged(state::Machine& machine) const;
     void refuse(RequestId id, const char* why);
     FencingToken token(const state::Machine& machine) const;
     void sweep();
     void expire_lease(state::Machine& machine);
 
-    sansio::Port& port_;
+    sansio::Context& context_;
     coordination::Election& election_;
-    state::Ledger& ledger_;
+    state::ClusterState& state_;
     const config::Config& config_;
-    ReportProcessor reports_;
-    CommandSender commands_;
+    HeartbeatProcessor reports_;
+    CommandDispatcher commands_;
     std::map<HostName, Instant> deleted_;
     std::map<HostName, Instant> unknown_workers_;  // and when they were first answered
     Instant next_sweep_{};
--- a/tests/chains_test.cpp
+++ b/tests/chains_test.cpp
@@ -79,8 +79,8 @@
     EXPECT_EQ(s.phase(job(3).id), "pending");
     ASSERT_EQ(s.ask("POST", "/v1/jobs/" + job(1).id.get() + "/abort", {}).status, 200);
     s.run(Millis(1000));
-    EXPECT_NE(s.state().value(kv::end_key(job(2).id)), "");
-    EXPECT_NE(s.state().value(kv::end_key(job(3).id)), "");
+    EXPECT_NE(s.state().value(kv::terminal_key(job(2).id)), "");
+    EXPECT_NE(s.state().value(kv::terminal_key(job(3).id)), "");
     EXPECT_EQ(s.phase(job(3).id), "withdrawn");
     // Accepted all the same, and cancelled.
     ASSERT_EQ(s.submit(job(4, {job(1).id})), 201);
@@ -97,7 +97,8 @@
     ASSERT_EQ(s.submit(job(3, {job(2).id})), 201);
     s.run(Millis(500));
     s.state().set_watches_stalled(true);
-    s.write(kv::end_key(job(1).id), wire::Writer().map(1).text("phase").text("withdrawn").take());
+    s.write(kv::terminal_key(job(1).id),
+            wire::Writer().map(1).text("phase").text("withdrawn").take());
     EXPECT_EQ(s.phase(job(3).id), "withdrawn");
 }
 
@@ -107,24 +108,24 @@
 class Graph : public testing::Test {
   protected:
     state::Job& add(int n, wire::Priority priority, std::vector<JobId> dependencies = {},
-                    Instant end_by = Instant::max()) {
+                    Instant latest_end = Instant::max()) {
         const auto spec = job(n, std::move(dependencies));
         auto& added = jobs_[spec.id];
         added.spec = spec;
         added.priority = priority;
-        added.end_by = end_by;
+        added.latest_end = latest_end;
         added.tasks.resize(1);
         graph_.add(added);
         return added;
     }
 
-    sansio::Port port_{1, sansio::LogLevel::error};
-    kv::Store store_{port_, Script::config()};
+    sansio::Context context_{1, sansio::LogLevel::error};
+    kv::KvClient kv_client_{context_, Script::config()};
     std::map<JobId, state::Job> jobs_;
     std::vector<JobId> cancelled_;
     state::DependencyGraph graph_{
-        port_,
-        store_,
+        context_,
+        kv_client_,
         jobs_,
         {[] { return true; }, [this](state::Job& job) { cancelled_.push_back(job.spec.id); }}};
 };
@@ -139,15 +140,15 @@
     auto& other = add(9, wire::Priority::idle);
     const auto& last = add(4, wire::Priority::urgent, {left.spec.id, right.spec.id}, due);
     const auto before = [](const state::Job& job) {
-        return job.end_by - from_seconds(job.spec.expected_s * 1.5) - Millis(2000);
+        return job.latest_end - from_seconds(job.spec.expected_s * 1.5) - Millis(2000);
     };
     EXPECT_EQ(left.priority, wire::Priority::urgent);
-    EXPECT_EQ(left.end_by, before(last));
+    EXPECT_EQ(left.latest_end, before(last));
     EXPECT_EQ(right.priority, wire::Priority::prod);
     EXPECT_EQ(first.priority, wire::Priority::prod);
-    EXPECT_EQ(first.end_by, before(left));
+    EXPECT_EQ(first.latest_end, before(left));
     EXPECT_EQ(other.priority, wire::Priority::idle);
-    EXPECT_EQ(other.end_by, Instant::max());
+    EXPECT_EQ(other.latest_end, Instant::max());
 }
 
 // Deadlines count from the submission; all else from when the last dependency was done.
@@ -156,14 +157,14 @@
     auto& first = add(1, wire::Priority::idle);
     auto& second = add(2, wire::Priority::idle);
     auto& last = add(3, wire::Priority::idle, {first.spec.id, second.spec.id}, due);
-    port_.set_time(Instant{} + Millis(5000), 0);
+    context_.advance_clock(Instant{} + Millis(5000), 0);
     graph_.ended(second.spec.id, wire::JobPhase::done);
     EXPECT_TRUE(last.waits());
-    port_.set_time(Instant{} + Millis(9000), 0);
+    context_.advance_clock(Instant{} + Millis(9000), 0);
     graph_.ended(first.spec.id, wire::JobPhase::done);
     EXPECT_FALSE(last.waits());
     EXPECT_EQ(last.ready_at, Instant{} + Millis(9000));
-    EXPECT_EQ(last.end_by, due);
+    EXPECT_EQ(last.latest_end, due);
     EXPECT_TRUE(cancelled_.empty());
 }
 
@@ -237,7 +238,7 @@
 }
 
 void end_elsewhere(Script& s, const JobId& id, wire::JobPhase phase) {
-    s.write(kv::end_key(id), encode(kv::EndRecord{phase, 1, 1700000000000}).packed);
+    s.write(kv::terminal_key(id), encode(kv::TerminalRecord{phase, 1, 1700000000000}).packed);
 }
 
 std::vector<JobId> accepted_elsewhere(Script& s, int first, int count) {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -144,8 +144,8 @@
                                  "\x91\x84\xa4" + "verb" + "\xa4" + "halt" + "\xa5" + "shard" +
                                  "\xa7" + "req-1/1" + "\xa3" + "try" + "\x01" + "\xa7" + "drain_s" +
                                  "\x0a";  // msgpack-c writes a whole number as an integer
-    const std::vector<Order> orders{{Verb::stop, {JobId("req-1"), 1}, Attempt(1), 10}};
-    EXPECT_EQ(encode_checkin_reply(FencingToken(41), orders), expected);
+    const std::vector<TaskCommand> orders{{CommandKind::stop, {JobId("req-1"), 1}, Attempt(1), 10}};
+    EXPECT_EQ(encode_heartbeat_reply(FencingToken(41), orders), expected);
 }
 
 TEST(Codec, ReportOfThePage) {
@@ -158,8 +158,8 @@
     w.map(4).text("shard").text("req-000398/0").text("try").count(1).text("phase").text("exited");
     w.text("exit_reason").text("done");
     const auto doc = Document::parse(w.take());
-    const auto r = decode_report(doc->root());
-    EXPECT_EQ(r.order, (ReportOrder{1, 88}));
+    const auto r = decode_worker_heartbeat(doc->root());
+    EXPECT_EQ(r.order, (HeartbeatSequence{1, 88}));
     EXPECT_FALSE(r.eviction_s);
     ASSERT_EQ(r.tasks.size(), 2u);
     EXPECT_EQ(r.tasks[0].task, (TaskRef{JobId("req-000412"), 3}));
@@ -168,8 +168,8 @@
 }
 
 TEST(Codec, ReportsAreOrderedByTenureThenTick) {
-    EXPECT_LT((ReportOrder{1, 900}), (ReportOrder{2, 1}));
-    EXPECT_LT((ReportOrder{2, 1}), (ReportOrder{2, 2}));
+    EXPECT_LT((HeartbeatSequence{1, 900}), (HeartbeatSequence{2, 1}));
+    EXPECT_LT((HeartbeatSequence{2, 1}), (HeartbeatSequence{2, 2}));
 }
 
 }  // namespace
--- a/tests/decisions_test.cpp
+++ b/tests/decisions_test.cpp
@@ -9,10 +9,10 @@
 namespace dunebridge {
 namespace {
 
-using Order = std::vector<std::size_t>;
+using TaskCommand = std::vector<std::size_t>;
 
-scheduler::Room room(double total, double free) {
-    scheduler::Room r;
+scheduler::FreeCapacity room(double total, double free) {
+    scheduler::FreeCapacity r;
     r.total = {total, 0, total * 4};
     r.free = r.later = {free, 0, free * 4};
     return r;
@@ -21,40 +21,41 @@
 const auto none = [](std::size_t) { return false; };
 
 TEST(BestFit, TheFullestThatFitsFirst) {
-    const std::vector<scheduler::Room> rooms{room(8, 8), room(8, 1), room(8, 3), room(8, 5)};
-    EXPECT_EQ(scheduler::best_fit(rooms, {2, 0, 4}, any, none), (Order{2, 3, 0}));
-    EXPECT_EQ(scheduler::best_fit(rooms, {9, 0, 4}, any, none), Order{});
+    const std::vector<scheduler::FreeCapacity> rooms{room(8, 8), room(8, 1), room(8, 3),
+                                                     room(8, 5)};
+    EXPECT_EQ(scheduler::best_fit(rooms, {2, 0, 4}, any, none), (TaskCommand{2, 3, 0}));
+    EXPECT_EQ(scheduler::best_fit(rooms, {9, 0, 4}, any, none), TaskCommand{});
     EXPECT_EQ(scheduler::best_fit(
                   rooms, {2, 0, 4}, [](std::size_t i) { return i != 2; }, none),
-              (Order{3, 0}));
+              (TaskCommand{3, 0}));
 }
 
 TEST(BestFit, MemoryCountsToo) {
-    const std::vector<scheduler::Room> rooms{room(8, 2), room(8, 8)};
-    EXPECT_EQ(scheduler::best_fit(rooms, {1, 0, 16}, any, none), Order{1});
+    const std::vector<scheduler::FreeCapacity> rooms{room(8, 2), room(8, 8)};
+    EXPECT_EQ(scheduler::best_fit(rooms, {1, 0, 16}, any, none), TaskCommand{1});
 }
 
 TEST(BestFit, AnImageBreaksTies) {
-    const std::vector<scheduler::Room> rooms{room(8, 4), room(8, 4)};
+    const std::vector<scheduler::FreeCapacity> rooms{room(8, 4), room(8, 4)};
     EXPECT_EQ(scheduler::best_fit(rooms, {1, 0, 1}, any, [](std::size_t i) { return i == 1; }),
-              (Order{1, 0}));
+              (TaskCommand{1, 0}));
 }
 
 TEST(BestFit, RoomThatIsPromisedIsNotGivenAway) {
-    std::vector<scheduler::Room> rooms{room(8, 4)};
+    std::vector<scheduler::FreeCapacity> rooms{room(8, 4)};
     rooms[0].later = {1, 0, 32};
-    EXPECT_EQ(scheduler::best_fit(rooms, {2, 0, 1}, any, none), Order{});
+    EXPECT_EQ(scheduler::best_fit(rooms, {2, 0, 1}, any, none), TaskCommand{});
 }
 
 TEST(PromisedFit, TheEarliestFinishRanksFirst) {
-    std::vector<scheduler::Room> rooms{room(8, 0), room(8, 0)};
+    std::vector<scheduler::FreeCapacity> rooms{room(8, 0), room(8, 0)};
     for (auto& r : rooms) r.later = {4, 0, 16};
     const auto earliest = [](std::size_t i) { return i == 0 ? 9.0 : 3.0; };
-    EXPECT_EQ(scheduler::promised_fit(rooms, {2, 0, 1}, any, earliest), (Order{1, 0}));
+    EXPECT_EQ(scheduler::future_fit(rooms, {2, 0, 1}, any, earliest), (TaskCommand{1, 0}));
 }
 
-provisioning::SizingInput input() {
-    provisioning::SizingInput in;
+provisioning::ScalingInput input() {
+    provisioning::ScalingInput in;
     in.types = {{"small", 4, 0, 16, 60, 1, 0.16, 0.07, 50, {"a", "b"}},
                 {"big", 32, 0, 128, 60, 1, 1.39, 0.57, 25, {"a", "b"}}};
     in.boot_s = 25;
@@ -75,8 +76,8 @@
     in.demand = {demand(1, 20, 10)};
     const auto plan = provisioning::plan(in);
     ASSERT_EQ(plan.rent.size(), 1u);
-    EXPECT_EQ(plan.rent[0].market.machine_type, "big");
-    EXPECT_TRUE(plan.rent[0].market.spot);
+    EXPECT_EQ(plan.rent[0].pool.machine_type, "big");
+    EXPECT_TRUE(plan.rent[0].pool.spot);
 }
 
 TEST(Sizing, NoSpotForJobsThatMayNotUseIt) {
@@ -85,7 +86,7 @@
     in.demand[0].spot_allowed = false;
     const auto plan = provisioning::plan(in);
     ASSERT_FALSE(plan.rent.empty());
-    EXPECT_FALSE(plan.rent[0].market.spot);
+    EXPECT_FALSE(plan.rent[0].pool.spot);
 }
 
 TEST(Sizing, OrdinaryMachinesOnlyForALongBacklog) {
@@ -110,7 +111,7 @@
     in.machines = {{{"big", "a", true}, 32, 0, true},
                    {{"small", "a", true}, 4, 50, true},
                    {{"small", "b", true}, 4, 5, true}};
-    EXPECT_EQ(provisioning::plan(in).give_back, (std::vector<std::size_t>{1}));
+    EXPECT_EQ(provisioning::plan(in).scale_in, (std::vector<std::size_t>{1}));
 }
 
 // What waits keeps no machine that none of it can use, also while others are being rented for it.
@@ -119,9 +120,9 @@
     in.idle_return_s = 10;
     in.machines = {{{"small", "a", true}, 4, 50, true}, {{"big", "a", true}, 32, 50, true}};
     in.demand = {demand(100, 20, 100)};
-    EXPECT_EQ(provisioning::plan(in).give_back, (std::vector<std::size_t>{0}));
+    EXPECT_EQ(provisioning::plan(in).scale_in, (std::vector<std::size_t>{0}));
     in.load_cores = 1e6;  // more than what there is and what is being rented
-    EXPECT_TRUE(provisioning::plan(in).give_back.empty());
+    EXPECT_TRUE(provisioning::plan(in).scale_in.empty());
 }
 
 // A place that does not deliver machines is used for as many as it is allowed, then others are.
@@ -134,7 +135,7 @@
     std::size_t from_a = 0;
     std::size_t from_b = 0;
     for (const auto& rent : provisioning::plan(in).rent) {
-        (rent.market.zone == "a" ? from_a : from_b) += rent.count;
+        (rent.pool.zone == "a" ? from_a : from_b) += rent.count;
     }
     EXPECT_LE(from_a, 2u);  // one of each type
     EXPECT_GT(from_b, 2u);
@@ -149,17 +150,17 @@
 TEST(CancellationLog, DoNotGoRoundBetweenNodes) {
     config::Config config;
     config.cancel = Millis(20000);
-    sansio::Port ports[2]{{1, sansio::LogLevel::info}, {2, sansio::LogLevel::info}};
+    sansio::Context ports[2]{{1, sansio::LogLevel::info}, {2, sansio::LogLevel::info}};
     coordination::CancellationLog logs[2]{{ports[0], config}, {ports[1], config}};
     Instant now(Millis(1000));
-    ports[0].set_time(now, 0);
+    ports[0].advance_clock(now, 0);
     EXPECT_TRUE(logs[0].add(JobId("req-1")));
     EXPECT_FALSE(logs[0].add(JobId("req-1")));
     now += Millis(5000);
     for (int step = 0; step < 300; ++step) {
         now += Millis(700);
         const auto from = static_cast<std::size_t>(step % 2);
-        for (auto& port : ports) port.set_time(now, 0);
+        for (auto& port : ports) port.advance_clock(now, 0);
         for (const auto& id : logs[from].kept().jobs) logs[1 - from].add(id);
         if (step == 2) {
             EXPECT_EQ(logs[1].kept().jobs.size(), 1u);
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -28,7 +28,7 @@
     EXPECT_TRUE(job.failures.faulty);
     EXPECT_EQ(job.placeable(), 2u);
     for (const auto& [host, machine] : world.ledger.machines()) {
-        EXPECT_FALSE(machine.draining);
+        EXPECT_FALSE(machine.cordoned);
         EXPECT_TRUE(machine.worker.failures.empty());
     }
 }
@@ -50,16 +50,16 @@
     attribution.succeeded(job, world.add_machine(1));
     EXPECT_FALSE(job.failures.faulty);
     EXPECT_EQ(job.placeable(), 50u);
-    EXPECT_LE(job.retry_at, world.now);
+    EXPECT_LE(job.backoff_until, world.now);
 }
 
 TEST_F(Attribution, AMachineOnWhichSeveralJobsFailIsAtFault) {
     auto& machine = world.add_machine(1);
     for (int n = 1; n <= 3; ++n) {
-        EXPECT_FALSE(machine.draining);
+        EXPECT_FALSE(machine.cordoned);
         attribution.failed(world.add_job(n), machine);
     }
-    EXPECT_TRUE(machine.draining);
+    EXPECT_TRUE(machine.cordoned);
 }
 
 // One job alone shows a faulty machine, if the job succeeds on others.
@@ -68,9 +68,9 @@
     auto& machine = world.add_machine(1);
     world.ledger.mark_done(job, 0);
     attribution.failed(job, machine);
-    EXPECT_FALSE(machine.draining);
+    EXPECT_FALSE(machine.cordoned);
     attribution.failed(job, machine);
-    EXPECT_TRUE(machine.draining);
+    EXPECT_TRUE(machine.cordoned);
     EXPECT_FALSE(job.failures.faulty);
 }
 
@@ -85,7 +85,7 @@
     }
     EXPECT_TRUE(first.failures.faulty);
     EXPECT_TRUE(second.failures.faulty);
-    for (const auto& [host, machine] : world.ledger.machines()) EXPECT_FALSE(machine.draining);
+    for (const auto& [host, machine] : world.ledger.machines()) EXPECT_FALSE(machine.cordoned);
 }
 
 TEST_F(Attribution, AFaultyMachineIsFoundWhileFaultyJobsAreAbout) {
@@ -98,9 +98,9 @@
     world.ledger.mark_done(healthy, 0);
     attribution.failed(healthy, machine);
     attribution.failed(faulty_job, machine);  // says nothing about the machine any more
-    EXPECT_FALSE(machine.draining);
+    EXPECT_FALSE(machine.cordoned);
     attribution.failed(healthy, machine);
-    EXPECT_TRUE(machine.draining);
+    EXPECT_TRUE(machine.cordoned);
 }
 
 // Three machines that fail everything do not make a job that runs there look faulty.
@@ -120,10 +120,10 @@
     attribution.failed(job, machine);
     attribution.failed(world.add_job(2), machine);
     attribution.failed(world.add_job(3), machine);
-    ASSERT_TRUE(machine.draining);
+    ASSERT_TRUE(machine.cordoned);
     fail_on_new_machines(job, 3);
     ASSERT_TRUE(job.failures.faulty);
-    EXPECT_FALSE(machine.draining);
+    EXPECT_FALSE(machine.cordoned);
 }
 
 TEST_F(Attribution, SuccessClearsTheMachine) {
@@ -132,20 +132,20 @@
     attribution.failed(world.add_job(2), machine);
     attribution.succeeded(world.add_job(3), machine);
     attribution.failed(world.add_job(4), machine);
-    EXPECT_FALSE(machine.draining);
+    EXPECT_FALSE(machine.cordoned);
 }
 
 // The tasks that fail together count once, and the job is still tried within 90 s.
 TEST_F(Attribution, PausesGrowToALimitAndOneWaveOfFailuresCountsOnce) {
     auto& job = world.add_job(1, 50);
     for (int n = 0; n < 20; ++n) attribution.pause(job);
-    EXPECT_LT(job.retry_at - world.now, Millis(1300));
+    EXPECT_LT(job.backoff_until - world.now, Millis(1300));
     Millis longest{0};
     for (int n = 0; n < 12; ++n) {
-        world.pass(std::max(job.retry_at - world.now, Millis(0)));
+        world.pass(std::max(job.backoff_until - world.now, Millis(0)));
         attribution.pause(job);
-        EXPECT_GT(job.retry_at, world.now);
-        longest = std::max(longest, job.retry_at - world.now);
+        EXPECT_GT(job.backoff_until, world.now);
+        longest = std::max(longest, job.backoff_until - world.now);
     }
     EXPECT_GE(longest, Millis(30000));
     EXPECT_LE(longest, Millis(37500));
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -264,7 +264,7 @@
     run();
     boost::asio::io_context own;
     net::HttpClient client(own, 2, std::chrono::seconds(60));
-    sansio::HttpReply reply;
+    sansio::HttpResult reply;
     boost::asio::co_spawn(
         own,
         [&]() -> boost::asio::awaitable<void> {
@@ -327,10 +327,10 @@
         const auto path = write("odd" + std::to_string(n++) + ".toml", text);
         ASSERT_EQ(complaint(path), "");
         const auto config = load_settings(path, {});
-        controller::Core core(config, 1, sansio::LogLevel::error);
+        controller::Controller core(config, 1, sansio::LogLevel::error);
         // Nothing outside answers: it goes on asking, and says that it is not ready.
         std::vector<controller::Command> batch{controller::Request{
-            RequestId(1), controller::Plane::front, "GET", "/ready", {}, false}};
+            RequestId(1), controller::Listener::front, "GET", "/ready", {}, false}};
         std::size_t calls = 0;
         bool answered = false;
         for (int i = 1; i <= 100; ++i) {
@@ -339,7 +339,8 @@
             for (const auto& a : effects.answers) answered = answered || a.status == 503;
             calls += effects.calls.size();
             for (const auto& c : effects.calls)
-                batch.push_back(controller::CallDone{c.id, {sansio::HttpReply::kUnsent, {}}});
+                batch.push_back(
+                    controller::CallCompleted{c.id, {sansio::HttpResult::kNotSent, {}}});
         }
         EXPECT_TRUE(answered);
         EXPECT_GT(calls, 5u);
--- a/tests/scripted_service_test.cpp
+++ b/tests/scripted_service_test.cpp
@@ -118,7 +118,7 @@
                      wire::encode_transaction(
                          {}, {{"prog/" + j.id.get() + "/0",
                                wire::Writer().map(1).text("v").count(99).take(), std::nullopt}}),
-                     [](const sansio::HttpReply& r) { ASSERT_EQ(r.status, 200); });
+                     [](const sansio::HttpResult& r) { ASSERT_EQ(r.status, 200); });
     s.restart();
     s.run(Millis(6000));
     EXPECT_FALSE(s.leads());
@@ -130,18 +130,18 @@
 // ask in masses cost no worker its lease, and those that cannot be taken are told when to come
 // back.
 TEST(Scripted, ReportsAreTakenBeforeMassesOfPolls) {
-    controller::Core core(Script::config(), 1, sansio::LogLevel::error);
+    controller::Controller core(Script::config(), 1, sansio::LogLevel::error);
     std::vector<controller::Command> batch;
     constexpr std::uint64_t polls = 1000;
     for (std::uint64_t i = 1; i <= polls; ++i) {
         batch.push_back(controller::Request{RequestId(i),
-                                            controller::Plane::front,
+                                            controller::Listener::front,
                                             "GET",
                                             fmt::format("/v1/jobs/req-{:06}", i),
                                             {},
                                             false});
     }
-    batch.push_back(controller::Request{RequestId(polls + 1), controller::Plane::front, "POST",
+    batch.push_back(controller::Request{RequestId(polls + 1), controller::Listener::front, "POST",
                                         "/checkin", ScriptedWorker().next(), false});
     const auto effects = core.apply(std::move(batch), Instant(Millis(5000)), 1700000000000);
     ASSERT_FALSE(effects.answers.empty());
--- a/tests/scripted_test.cpp
+++ b/tests/scripted_test.cpp
@@ -8,12 +8,13 @@
 namespace dunebridge::sim {
 namespace {
 
+using wire::CommandKind;
 using wire::ExitReason;
 using wire::TaskPhase;
-using wire::Verb;
 using Hosts = std::vector<std::string>;
 
-const wire::Order* find(const wire::Commands& commands, Verb verb, const TaskRef& task) {
+const wire::TaskCommand* find(const wire::CommandBatch& commands, CommandKind verb,
+                              const TaskRef& task) {
     for (const auto& o : commands.orders) {
         if (o.verb == verb && o.task == task) return &o;
     }
@@ -40,7 +41,7 @@
 // command that has no answer yet. The first job's task runs.
 struct StartSentTwice {
     ScriptedWorker worker;
-    wire::Order start;
+    wire::TaskCommand start;
     Script::Direct direct;
 };
 StartSentTwice send_start_twice(Script& s, const wire::JobSpec& first,
@@ -51,7 +52,7 @@
     EXPECT_EQ(s.submit(second), 201);
     s.run(Millis(250));
     const auto answer = s.checkin(sent.worker.next()).second;
-    const auto* start = find(answer, Verb::start, {second.id, 0});
+    const auto* start = find(answer, CommandKind::start, {second.id, 0});
     EXPECT_NE(start, nullptr);
     if (start) sent.start = *start;
     sent.worker.report.tasks.push_back(running(s.directs().at(0).commands.orders.at(0)));
@@ -59,7 +60,7 @@
     s.run(Millis(60));
     EXPECT_EQ(s.directs().size(), 1u);
     sent.direct = s.directs().at(0);
-    EXPECT_NE(find(sent.direct.commands, Verb::start, {second.id, 0}), nullptr);
+    EXPECT_NE(find(sent.direct.commands, CommandKind::start, {second.id, 0}), nullptr);
     return sent;
 }
 
@@ -71,19 +72,19 @@
     const TaskRef task{second.id, 0};
     auto [w, start, under_way] = send_start_twice(s, first, second);
     const auto attempt = start.attempt;
-    w.report.tasks.push_back(running({Verb::start, task, attempt}));
+    w.report.tasks.push_back(running({CommandKind::start, task, attempt}));
     w.report.tasks.back().phase = TaskPhase::exited;
     w.report.tasks.back().reason = ExitReason::stopped;
     s.checkin(w.next());
     s.run(Millis(400));  // the task is placed anew, and that is on record
     ASSERT_EQ(s.directs().size(), 1u);
     const auto reply = s.checkin(w.next()).second;
-    EXPECT_EQ(find(reply, Verb::clear, task), nullptr);
+    EXPECT_EQ(find(reply, CommandKind::clear, task), nullptr);
     w.report.token = reply.token;
     s.answer(under_way, 200, w.next());
     s.run(Millis(100));
     ASSERT_EQ(s.directs().size(), 1u);
-    EXPECT_NE(find(s.directs()[0].commands, Verb::clear, task), nullptr);
+    EXPECT_NE(find(s.directs()[0].commands, CommandKind::clear, task), nullptr);
 }
 
 // A direct command that was carried out may come once more, much later. Whatever clears its attempt
@@ -101,17 +102,17 @@
     s.checkin(w.next());
     s.run(Millis(3000));  // the end is on record
     const auto reply = s.checkin(w.next()).second;
-    ASSERT_NE(find(reply, Verb::clear, {job(1).id, 0}), nullptr);
+    ASSERT_NE(find(reply, CommandKind::clear, {job(1).id, 0}), nullptr);
     EXPECT_GT(reply.token, direct.commands.token);
 }
 
 // Malformed messages are answered and dropped, and do not fill the log.
 TEST(Scripted, ComplaintsOfOneKindAreLimitedInRate) {
-    controller::Core core(Script::config(), 1, sansio::LogLevel::info);
+    controller::Controller core(Script::config(), 1, sansio::LogLevel::info);
     std::vector<controller::Command> batch;
     for (std::uint64_t i = 1; i <= 200; ++i) {
-        batch.push_back(controller::Request{RequestId(i), controller::Plane::back, "POST", "/hello",
-                                            "\xc1", false});
+        batch.push_back(controller::Request{RequestId(i), controller::Listener::back, "POST",
+                                            "/hello", "\xc1", false});
     }
     const auto effects = core.apply(std::move(batch), Instant(Millis(5000)), 1700000000000);
     EXPECT_EQ(effects.answers.size(), 200u);
@@ -140,7 +141,7 @@
     const auto first = job(1);
     const auto second = job(2);
     auto [w, start, direct] = send_start_twice(s, first, second);
-    s.answer(direct, sansio::HttpReply::kUnsent, {});
+    s.answer(direct, sansio::HttpResult::kNotSent, {});
     ASSERT_EQ(s.ask("POST", "/v1/jobs/" + second.id.get() + "/abort", {}).status, 200);
     s.run(Millis(3000));
     EXPECT_EQ(s.recorded_on(second.id), Hosts{w.report.host.get()});
@@ -167,15 +168,15 @@
     s.state().set_watches_stalled(true);
     // By another node, of which this one learns nothing.
     const auto end = wire::Writer().map(1).text("phase").text("withdrawn").take();
-    s.write(kv::end_key(second.id), end);
+    s.write(kv::terminal_key(second.id), end);
     w.report.tasks[0].phase = TaskPhase::exited;
     w.report.tasks[0].reason = ExitReason::done;
     s.checkin(w.next());
     s.run(Millis(500));
     for (const auto& d : s.directs()) {
-        EXPECT_EQ(find(d.commands, Verb::start, {second.id, 0}), nullptr);
+        EXPECT_EQ(find(d.commands, CommandKind::start, {second.id, 0}), nullptr);
     }
-    EXPECT_EQ(find(s.checkin(w.next()).second, Verb::start, {second.id, 0}), nullptr);
+    EXPECT_EQ(find(s.checkin(w.next()).second, CommandKind::start, {second.id, 0}), nullptr);
     EXPECT_EQ(s.recorded_on(second.id), Hosts{});
 }
 
@@ -218,7 +219,7 @@
     s.checkin(w.next());
     s.run(Millis(3000));
     EXPECT_EQ(s.recorded_on(first.id), Hosts{w.report.host.get()});
-    EXPECT_EQ(s.state().value(kv::end_key(first.id)), "");
+    EXPECT_EQ(s.state().value(kv::terminal_key(first.id)), "");
 }
 
 // A direct command without an answer may yet start the task: what a report of the token before
@@ -280,7 +281,7 @@
     show_token(s, w);
     // No connection to it can be made, and the answers to its reports are lost.
     for (int i = 0; i < 8; ++i) {
-        while (!s.directs().empty()) s.answer(s.directs()[0], sansio::HttpReply::kUnsent, {});
+        while (!s.directs().empty()) s.answer(s.directs()[0], sansio::HttpResult::kNotSent, {});
         s.checkin(w.next());
         s.run(Millis(1000));
     }
@@ -373,8 +374,9 @@
     EXPECT_NE(s.checkin(earlier).first, 200);
     w.report.token = orders.token;
     const auto again = s.checkin(w.next()).second;
-    const auto* start = find(again, Verb::start, a.task);
-    if (!start && !s.directs().empty()) start = find(s.directs()[0].commands, Verb::start, a.task);
+    const auto* start = find(again, CommandKind::start, a.task);
+    if (!start && !s.directs().empty())
+        start = find(s.directs()[0].commands, CommandKind::start, a.task);
     ASSERT_NE(start, nullptr);
     EXPECT_NE(start->attempt, a.attempt);
     EXPECT_FALSE(s.returned(w.report.host));
--- a/tests/sim/cloud_stand_in.cpp
+++ b/tests/sim/cloud_stand_in.cpp
@@ -4,7 +4,7 @@
 
 namespace dunebridge::sim {
 
-using sansio::HttpReply;
+using sansio::HttpResult;
 using wire::Writer;
 
 CloudStandIn::CloudStandIn(Clock& clock, std::vector<wire::MachineType> types,
@@ -18,8 +18,8 @@
       trouble_rng_(seed * 17 + 3),
       events_(std::move(events)) {}
 
-HttpReply CloudStandIn::handle(const std::string& method, const std::string& target,
-                               const std::string& body) {
+HttpResult CloudStandIn::handle(const std::string& method, const std::string& target,
+                                const std::string& body) {
     if (outage_) return {503, Writer().map(1).text("error").text("trouble").take()};
     if (over_rate()) return {429, {}};
     if (target == "/machine_types") {
@@ -66,8 +66,8 @@
            (boot_trouble_.zone.empty() || boot_trouble_.zone == zone);
 }
 
-HttpReply CloudStandIn::rent(const std::string& body) {
-    const auto request = wire::decode_rental(wire::Document::parse(body)->root());
+HttpResult CloudStandIn::rent(const std::string& body) {
+    const auto request = wire::decode_scale_out_request(wire::Document::parse(body)->root());
     const auto known = claims_.find(request.idempotency_key);
     if (known != claims_.end()) return {200, known->second};
     std::vector<HostName> hosts;
@@ -104,7 +104,7 @@
     return {200, claims_[request.idempotency_key]};
 }
 
-HttpReply CloudStandIn::remove(const std::string& body) {
+HttpResult CloudStandIn::remove(const std::string& body) {
     for (const auto& host : wire::decode_hosts(wire::Document::parse(body)->root())) {
         events_.returned(host);
         take(host);
@@ -127,7 +127,7 @@
 }
 
 // As it was some time ago.
-HttpReply CloudStandIn::list(const std::string& target) {
+HttpResult CloudStandIn::list(const std::string& target) {
     const auto at = clock_.now() - list_lag_ * static_cast<std::int64_t>(rng_() % 200) / 100;
     const auto cut = target.find("from=");
     const auto from = cut == std::string::npos ? std::string() : target.substr(cut + 5);
--- a/tests/sim/cloud_stand_in.hpp
+++ b/tests/sim/cloud_stand_in.hpp
@@ -31,8 +31,8 @@
     CloudStandIn(Clock& clock, std::vector<wire::MachineType> types, std::size_t most_machines,
                  Millis list_lag, std::uint64_t seed, Events events);
 
-    sansio::HttpReply handle(const std::string& method, const std::string& target,
-                             const std::string& body);
+    sansio::HttpResult handle(const std::string& method, const std::string& target,
+                              const std::string& body);
     void set_outage(bool outage) { outage_ = outage; }
     // Calls a second above which it refuses, and the rows of a page of its list.
     void set_limits(double rps, std::size_t page) {
@@ -61,9 +61,9 @@
   private:
     bool over_rate();
     bool boot_trouble_in(const std::string& zone) const;
-    sansio::HttpReply rent(const std::string& body);
-    sansio::HttpReply remove(const std::string& body);
-    sansio::HttpReply list(const std::string& target);
+    sansio::HttpResult rent(const std::string& body);
+    sansio::HttpResult remove(const std::string& body);
+    sansio::HttpResult list(const std::string& target);
 
     Clock& clock_;
     std::vector<wire::MachineType> types_;
--- a/tests/sim/ledger_fixture.hpp
+++ b/tests/sim/ledger_fixture.hpp
@@ -15,16 +15,16 @@
 
 struct LedgerFixture {
     config::Config config;
-    sansio::Port port{1, sansio::LogLevel::info};
-    kv::Store store{port, config};
+    sansio::Context port{1, sansio::LogLevel::info};
+    kv::KvClient store{port, config};
     coordination::Election election{port, store, config};
-    state::Ledger ledger{port, store, election};
+    state::ClusterState ledger{port, store, election};
     Instant now{Millis(1000000)};
 
     LedgerFixture() { pass(Millis(0)); }
     void pass(Millis span) {
         now += span;
-        port.set_time(now, 0);
+        port.advance_clock(now, 0);
     }
     state::Job& add_job(int number, std::uint32_t task_count = 1) {
         kv::JobRecord record;
--- a/tests/sim/script.cpp
+++ b/tests/sim/script.cpp
@@ -4,8 +4,8 @@
 
 namespace dunebridge::sim {
 
-using sansio::HttpReply;
-using sansio::Service;
+using sansio::Destination;
+using sansio::HttpResult;
 
 namespace {
 constexpr Millis kTurn{5};
@@ -27,8 +27,8 @@
     return s;
 }
 
-wire::TaskReport running(const wire::Order& order) {
-    wire::TaskReport t;
+wire::TaskStatus running(const wire::TaskCommand& order) {
+    wire::TaskStatus t;
     t.task = order.task;
     t.attempt = order.attempt;
     t.phase = wire::TaskPhase::running;
@@ -48,10 +48,10 @@
     return worker;
 }
 
-static void obey(ScriptedWorker& w, const std::vector<wire::Order>& orders) {
+static void obey(ScriptedWorker& w, const std::vector<wire::TaskCommand>& orders) {
     for (const auto& o : orders) {
         std::erase_if(w.report.tasks, [&](const auto& t) { return t.task == o.task; });
-        if (o.verb == wire::Verb::start) w.report.tasks.push_back(running(o));
+        if (o.verb == wire::CommandKind::start) w.report.tasks.push_back(running(o));
     }
 }
 
@@ -121,7 +121,8 @@
     ++incarnation_;
     queue_.clear();
     commands_in_flight_.clear();
-    core_ = std::make_unique<controller::Core>(config_, incarnation_, sansio::LogLevel::debug);
+    core_ =
+        std::make_unique<controller::Controller>(config_, incarnation_, sansio::LogLevel::debug);
 }
 
 void Script::run(Millis span) {
@@ -151,20 +152,20 @@
 }
 
 void Script::call(sansio::HttpCall c) {
-    const auto done = [this, id = c.id, incarnation = incarnation_](const HttpReply& reply) {
-        if (incarnation == incarnation_) queue_.push_back(controller::CallDone{id, reply});
+    const auto done = [this, id = c.id, incarnation = incarnation_](const HttpResult& reply) {
+        if (incarnation == incarnation_) queue_.push_back(controller::CallCompleted{id, reply});
     };
-    const bool lost = writes_lost_ && c.service == Service::state && c.target == "/multi" &&
+    const bool lost = writes_lost_ && c.service == Destination::state && c.target == "/multi" &&
                       wire::Document::parse(c.body)->root()["writes"].size() > 0;
     if (lost) {
-        clock_.after(c.timeout, [done] { done({HttpReply::kNoAnswer, {}}); });
-    } else if (c.service == Service::state) {
+        clock_.after(c.timeout, [done] { done({HttpResult::kNoResponse, {}}); });
+    } else if (c.service == Destination::state) {
         state_.handle(c.method, c.target, c.body, done);
-    } else if (c.service == Service::cloud) {
+    } else if (c.service == Destination::cloud) {
         done(cloud_.handle(c.method, c.target, c.body));
-    } else if (c.service == Service::peer) {
+    } else if (c.service == Destination::peer) {
         clock_.after(c.timeout, [done] {
-            done({HttpReply::kNoAnswer, {}});
+            done({HttpResult::kNoResponse, {}});
         });  // no other controller is there
     } else {
         const auto doc = wire::Document::parse(c.body);
@@ -172,19 +173,19 @@
         clock_.after(c.timeout, [this, id = c.id, done] {
             if (std::erase_if(commands_in_flight_, [&](const Direct& d) { return d.id == id; }) >
                 0) {
-                done({HttpReply::kNoAnswer, {}});
+                done({HttpResult::kNoResponse, {}});
             }
         });
     }
 }
 
-sansio::Answer Script::ask(const std::string& method, const std::string& target,
-                           const std::string& body) {
+sansio::HttpResponse Script::ask(const std::string& method, const std::string& target,
+                                 const std::string& body) {
     const RequestId id(++next_request_);
     queue_.push_back(
-        controller::Request{id, controller::Plane::front, method, target, body, false});
+        controller::Request{id, controller::Listener::front, method, target, body, false});
     for (int i = 0; i < 600 && !answers_.contains(id); ++i) run(kTurn);
-    return answers_.contains(id) ? answers_.at(id) : sansio::Answer{id, 0, {}, 0};
+    return answers_.contains(id) ? answers_.at(id) : sansio::HttpResponse{id, 0, {}, 0};
 }
 
 int Script::submit(const wire::JobSpec& job) {
@@ -200,17 +201,17 @@
     return doc->root()["phase"].need_text("phase");
 }
 
-std::pair<int, wire::Commands> Script::checkin(const std::string& report) {
+std::pair<int, wire::CommandBatch> Script::checkin(const std::string& report) {
     const auto a = ask("POST", "/checkin", report);
     const auto doc = wire::Document::parse(a.body);
     return {a.status,
-            a.status == 200 && doc ? wire::decode_commands(doc->root()) : wire::Commands()};
+            a.status == 200 && doc ? wire::decode_commands(doc->root()) : wire::CommandBatch()};
 }
 
 void Script::answer(const Direct& direct, int status, const std::string& report) {
     const auto id = direct.id;
     std::erase_if(commands_in_flight_, [&](const Direct& d) { return d.id == id; });
-    queue_.push_back(controller::CallDone{id, {status, report}});
+    queue_.push_back(controller::CallCompleted{id, {status, report}});
 }
 
 ScriptedWorker Script::machine(std::size_t n) {
@@ -229,7 +230,7 @@
 
 void Script::write(const std::string& key, const std::string& value) {
     state_.handle("POST", "/multi", wire::encode_transaction({}, {{key, value, std::nullopt}}),
-                  [](const HttpReply&) {});
+                  [](const HttpResult&) {});
 }
 
 std::size_t Script::logged_times(const std::string& what) const {
--- a/tests/sim/script.hpp
+++ b/tests/sim/script.hpp
@@ -22,7 +22,7 @@
 
 // A worker as the test plays it: what its next report says.
 struct ScriptedWorker {
-    wire::Report report;
+    wire::WorkerHeartbeat report;
     std::string next();  // its next report, packed
 };
 
@@ -36,18 +36,18 @@
     // A new incarnation of the controller, with nothing but what is on record.
     void restart();
 
-    sansio::Answer ask(const std::string& method, const std::string& target,
-                       const std::string& body);
+    sansio::HttpResponse ask(const std::string& method, const std::string& target,
+                             const std::string& body);
     int submit(const wire::JobSpec& job);
     std::string phase(const JobId& id);  // empty: no answer with one
     // The answer to a check-in, and what it orders.
-    std::pair<int, wire::Commands> checkin(const std::string& report);
+    std::pair<int, wire::CommandBatch> checkin(const std::string& report);
 
     // Direct commands that have no answer yet.
     struct Direct {
         CallId id;
         std::string endpoint;
-        wire::Commands commands;
+        wire::CommandBatch commands;
     };
     const std::vector<Direct>& directs() const { return commands_in_flight_; }
     void answer(const Direct& direct, int status, const std::string& report);
@@ -77,11 +77,11 @@
     Clock clock_;
     StateStandIn state_;
     CloudStandIn cloud_;
-    std::unique_ptr<controller::Core> core_;
+    std::unique_ptr<controller::Controller> core_;
     std::uint64_t incarnation_ = 0;
     std::uint64_t next_request_ = 0;
     std::vector<controller::Command> queue_;
-    std::map<RequestId, sansio::Answer> answers_;
+    std::map<RequestId, sansio::HttpResponse> answers_;
     std::vector<Direct> commands_in_flight_;
     std::vector<wire::MachineListing> up_;
     std::set<HostName> returned_;
@@ -89,7 +89,7 @@
     bool writes_lost_ = false;
 };
 
-wire::TaskReport running(const wire::Order& order);
+wire::TaskStatus running(const wire::TaskCommand& order);
 // The worker's first reports, after which it has seen the leader's token.
 void show_token(Script& s, ScriptedWorker& w);
 // Waits for the n-th machine to boot and to have seen the leader's token.
--- a/tests/sim/state_stand_in.cpp
+++ b/tests/sim/state_stand_in.cpp
@@ -5,7 +5,7 @@
 
 namespace dunebridge::sim {
 
-using sansio::HttpReply;
+using sansio::HttpResult;
 using wire::Document;
 using wire::Writer;
 
--- a/tests/sim/state_stand_in.hpp
+++ b/tests/sim/state_stand_in.hpp
@@ -15,7 +15,7 @@
 
 class StateStandIn {
   public:
-    using Reply = std::function<void(sansio::HttpReply)>;
+    using Reply = std::function<void(sansio::HttpResult)>;
 
     explicit StateStandIn(Clock& clock) : clock_(clock) {}
 
--- a/tests/sim/troubles.cpp
+++ b/tests/sim/troubles.cpp
@@ -5,9 +5,9 @@
 
 namespace dunebridge::sim {
 
-using controller::Plane;
-using sansio::Answer;
+using controller::Listener;
 using sansio::HttpCall;
+using sansio::HttpResponse;
 
 // ---- the state service ----
 
@@ -31,7 +31,7 @@
 
 void World::serve_late(const HttpCall& c) {
     clock_.after(Millis(2000 + static_cast<std::int64_t>(harsh_rng_() % 10000)), [this, c] {
-        state_.handle(c.method, c.target, c.body, [](const sansio::HttpReply&) {});
+        state_.handle(c.method, c.target, c.body, [](const sansio::HttpResult&) {});
     });
 }
 
@@ -81,7 +81,7 @@
         std::next(users_.begin(), static_cast<std::ptrdiff_t>(harsh_rng_() % users_.size()))
             ->second;
     const auto expect = [this](int status, const char* what) {
-        return [this, status, what](const Answer& a) {
+        return [this, status, what](const HttpResponse& a) {
             if (a.status != status && a.status != 503) {
                 broken("odd_request", fmt::format("{}: {}", what, a.status));
             }
@@ -91,8 +91,8 @@
     auto spec = user.spec;
     spec.id = JobId(id);
     spec.waits_on.clear();
-    const auto post = [&](const std::string& body, std::function<void(const Answer&)> then) {
-        request(node, Plane::front, "POST", "/v1/jobs", body, std::move(then));
+    const auto post = [&](const std::string& body, std::function<void(const HttpResponse&)> then) {
+        request(node, Listener::front, "POST", "/v1/jobs", body, std::move(then));
     };
     wire::Writer w;
     switch (harsh_rng_() % 4) {
@@ -112,11 +112,12 @@
             break;
         default:
             if (user.final != wire::JobPhase::done) break;
-            request(node, Plane::front, "POST", "/v1/jobs/" + user.spec.id.get() + "/abort", {},
-                    [this, &user, late = expect(200, "cancels what is done")](const Answer& a) {
-                        late(a);
-                        if (a.status == 200) told(user, a);
-                    });
+            request(
+                node, Listener::front, "POST", "/v1/jobs/" + user.spec.id.get() + "/abort", {},
+                [this, &user, late = expect(200, "cancels what is done")](const HttpResponse& a) {
+                    late(a);
+                    if (a.status == 200) told(user, a);
+                });
     }
 }
 
@@ -310,7 +311,7 @@
             u.teams[user.spec.team] += user.spec.cores;
             u.hosts[host] += user.spec.cores;
             ++u.zones[task.job][w->zone()];
-            if (!user.completed.contains(task.index)) ++u.begun[task.job];
+            if (!user.completed.contains(task.index)) ++u.has_started[task.job];
         }
     }
     return u;
@@ -321,7 +322,7 @@
 bool World::could_start(const User& user, Usage& usage) {
     const auto& spec = user.spec;
     auto& zones = usage.zones[spec.id];
-    if (user.completed.size() + usage.begun[spec.id] >= spec.task_count) return false;
+    if (user.completed.size() + usage.has_started[spec.id] >= spec.task_count) return false;
     for (const auto& team : config_.teams) {
         if (team.name != spec.team || team.cpus_max <= 0) continue;
         if (usage.teams[team.name] + spec.cores > team.cpus_max + 1e-6) return false;
--- a/tests/sim/worker_stand_in.cpp
+++ b/tests/sim/worker_stand_in.cpp
@@ -106,7 +106,7 @@
 }
 
 std::string WorkerStandIn::report_body() {
-    wire::Report r;
+    wire::WorkerHeartbeat r;
     r.host = host_;
     r.endpoint = endpoint();
     r.machine_type = type_.name;
@@ -126,7 +126,7 @@
     report_at_ = clock_.now() + pause;
 }
 
-void WorkerStandIn::checkin_answered(std::uint64_t sequence, const sansio::HttpReply* reply) {
+void WorkerStandIn::checkin_answered(std::uint64_t sequence, const sansio::HttpResult* reply) {
     if (gone_ || !in_flight_ || sequence != sequence_ || hanging()) return;
     in_flight_ = false;
     const auto next = (node_ + 1) % world_.node_count();
@@ -160,7 +160,7 @@
     for (const auto& order : answer.orders) execute(order);
 }
 
-sansio::HttpReply WorkerStandIn::commands(const std::string& body) {
+sansio::HttpResult WorkerStandIn::commands(const std::string& body) {
     check_lease();
     const auto c = wire::decode_commands(wire::Document::parse(body)->root());
     if (c.token < epoch_ || c.session != tenure_) return {409, report_body()};
@@ -172,7 +172,7 @@
     return {200, report_body()};
 }
 
-void WorkerStandIn::start_task(const wire::Order& o) {
+void WorkerStandIn::start_task(const wire::TaskCommand& o) {
     const auto it = tasks_.find(o.task);
     if (it != tasks_.end() && it->second.attempt == o.attempt) return;
     WorkerTask t;
@@ -198,8 +198,8 @@
     tasks_[o.task] = t;
 }
 
-void WorkerStandIn::execute(const wire::Order& o) {
-    if (o.verb == wire::Verb::start) {
+void WorkerStandIn::execute(const wire::TaskCommand& o) {
+    if (o.verb == wire::CommandKind::start) {
         start_task(o);
         changed();
         return;
@@ -207,7 +207,7 @@
     const auto it = tasks_.find(o.task);
     if (it == tasks_.end() || it->second.attempt != o.attempt) return;
     auto& t = it->second;
-    if (o.verb == wire::Verb::clear) {
+    if (o.verb == wire::CommandKind::clear) {
         if (t.phase == TaskPhase::exited) tasks_.erase(it);
         return;
     }
--- a/tests/sim/worker_stand_in.hpp
+++ b/tests/sim/worker_stand_in.hpp
@@ -51,8 +51,8 @@
     void set_faulty(bool faulty) { faulty_ = faulty; }
 
     // Null: no answer, or not in time.
-    void checkin_answered(std::uint64_t sequence, const sansio::HttpReply* reply);
-    sansio::HttpReply commands(const std::string& body);
+    void checkin_answered(std::uint64_t sequence, const sansio::HttpResult* reply);
+    sansio::HttpResult commands(const std::string& body);
     bool hanging() const { return clock_.now() < hang_until_; }
     Instant hang_until() const { return hang_until_; }
     bool gone() const { return gone_; }
@@ -81,8 +81,8 @@
         report_at_ = std::min(report_at_, std::max(clock_.now(), last_sent_ + Millis(500)));
     }
     std::string report_body();
-    void execute(const wire::Order& order);
-    void start_task(const wire::Order& order);
+    void execute(const wire::TaskCommand& order);
+    void start_task(const wire::TaskCommand& order);
     void try_node(std::size_t node, Millis pause);
 
     Clock& clock_;
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -74,7 +74,7 @@
     void refuse_leader(Millis span) { refuse(leader(), span); }
     void state_outage(Millis span);
     void state_slow(Millis span) { state_slow_until_ = clock_.now() + span; }
-    // Commands to workers are held on the way.
+    // CommandBatch to workers are held on the way.
     void hold_commands(Millis span) { commands_held_until_ = clock_.now() + span; }
     // That share of transactions gets no answer and is carried out 2 to 12 s later.
     void late_writes(double share, Millis span) { late_writes_ = {share, clock_.now() + span}; }
@@ -181,7 +181,7 @@
         Instant until{};
     };
     struct Node {
-        std::unique_ptr<controller::Core> core;
+        std::unique_ptr<controller::Controller> core;
         std::uint64_t incarnation = 0;
         std::vector<controller::Command> queue;
         bool step_planned = false;
@@ -192,7 +192,7 @@
         bool old_version = false;
         Instant cut_until{};
         Instant still_until{};  // it stands still, and its clock runs on
-        std::map<RequestId, std::function<void(const sansio::Answer&)>> waiting;
+        std::map<RequestId, std::function<void(const sansio::HttpResponse&)>> waiting;
     };
     struct User {
         wire::JobSpec spec;
@@ -222,13 +222,13 @@
     bool unconnected(const std::string& endpoint);
     void call(std::size_t node, sansio::HttpCall call);
     void serve(std::size_t node, const sansio::HttpCall& call, StateStandIn::Reply reply);
-    void request(std::size_t node, controller::Plane plane, const std::string& method,
+    void request(std::size_t node, controller::Listener plane, const std::string& method,
                  const std::string& target, const std::string& body,
-                 std::function<void(const sansio::Answer&)> then);
-    Cut& cut_for(Node& node, sansio::Service service);
+                 std::function<void(const sansio::HttpResponse&)> then);
+    Cut& cut_for(Node& node, sansio::Destination service);
     Millis latency();
 
-    // Workers (WorkerHost).
+    // WorkerManager (WorkerHost).
     const wire::JobSpec* description(const JobId& id) override;
     Millis run_time(const TaskRef& task) override;
     bool fails(const TaskRef& task) override { return users_.at(task.job).mistaken; }
@@ -254,7 +254,7 @@
     void poll(User& user);
     void abort(User& user);
     void abort_at(User& user, std::size_t node);
-    void told(User& user, const sansio::Answer& answer);
+    void told(User& user, const sansio::HttpResponse& answer);
     void ask_again(User& user, std::size_t node, const std::string& method,
                    const std::string& target, const std::string& body, const char* when);
     void repeat_user(User& user, const std::string& target, const std::string& body);
@@ -287,7 +287,7 @@
         std::map<std::string, double> teams;
         std::map<HostName, double> hosts;
         std::map<JobId, std::map<std::string, std::uint32_t>> zones;
-        std::map<JobId, std::size_t> begun;
+        std::map<JobId, std::size_t> has_started;
     };
     Usage usage();
     bool could_start(const User& user, Usage& usage);
@@ -309,7 +309,7 @@
     CloudStandIn cloud_;
     std::vector<Node> nodes_;
     std::map<HostName, std::unique_ptr<WorkerStandIn>> workers_;
-    // Workers that have started any task of the job: no other can have one.
+    // WorkerManager that have started any task of the job: no other can have one.
     std::map<JobId, std::set<HostName>> started_on_;
     std::map<HostName, std::pair<Cut, Instant>> worker_cuts_;
     std::map<JobId, User> users_;
--- a/tests/sim/world_network.cpp
+++ b/tests/sim/world_network.cpp
@@ -9,11 +9,11 @@
 
 namespace dunebridge::sim {
 
-using controller::Plane;
-using sansio::Answer;
+using controller::Listener;
+using sansio::Destination;
 using sansio::HttpCall;
-using sansio::HttpReply;
-using sansio::Service;
+using sansio::HttpResponse;
+using sansio::HttpResult;
 
 namespace {
 constexpr std::int64_t kWallStart = 1700000000000;
@@ -33,7 +33,7 @@
     auto& node = nodes_[i];
     if (node.old_version) config.format = options_.old_format;
     const bool verbose = std::getenv("SIM_LOG") != nullptr;
-    node.core = std::make_unique<controller::Core>(
+    node.core = std::make_unique<controller::Controller>(
         config, rng_(), verbose ? sansio::LogLevel::debug : sansio::LogLevel::info);
     node.incarnation = ++incarnations_;
     node.queue.clear();
@@ -79,9 +79,9 @@
     batch.swap(node.queue);
     const auto wall = kWallStart + clock_.now().time_since_epoch().count() +
                       static_cast<std::int64_t>(i) * 100 - 100;
-    const auto begun = std::chrono::steady_clock::now();
+    const auto has_started = std::chrono::steady_clock::now();
     auto effects = node.core->apply(std::move(batch), clock_.now(), wall);
-    const std::chrono::duration<double> taken = std::chrono::steady_clock::now() - begun;
+    const std::chrono::duration<double> taken = std::chrono::steady_clock::now() - has_started;
     add_to_load(taken.count(), effects);
     for (const auto& line : effects.logs) {
         if (line.text.find("event=elected") != std::string::npos) ++terms_;
@@ -138,9 +138,9 @@
 
 Millis World::latency() { return Millis(1 + static_cast<std::int64_t>(rng_() % 4)); }
 
-World::Cut& World::cut_for(Node& node, Service service) {
-    if (service == Service::worker) return node.from_workers;
-    if (service == Service::peer) return node.from_nodes;
+World::Cut& World::cut_for(Node& node, Destination service) {
+    if (service == Destination::worker) return node.from_workers;
+    if (service == Destination::peer) return node.from_nodes;
     return node.from_state;
 }
 
@@ -156,34 +156,35 @@
     const auto incarnation = node.incarnation;
     const auto id = c.id;
     const auto answered = std::make_shared<bool>(false);
-    const auto done = [this, i, incarnation, id, answered](const HttpReply& reply) {
+    const auto done = [this, i, incarnation, id, answered](const HttpResult& reply) {
         if (*answered || nodes_[i].incarnation != incarnation) return;
         *answered = true;
-        command(i, controller::CallDone{id, reply});
+        command(i, controller::CallCompleted{id, reply});
     };
     const auto cut = cut_for(node, c.service);
     // Without a connection a command is certainly not sent.
-    if (c.service == Service::worker && (unconnected(c.endpoint) || cut != Cut::none) &&
+    if (c.service == Destination::worker && (unconnected(c.endpoint) || cut != Cut::none) &&
         rng_() % 2) {
-        clock_.after(c.timeout, [done] { done({HttpReply::kUnsent, {}}); });
+        clock_.after(c.timeout, [done] { done({HttpResult::kNotSent, {}}); });
         return;
     }
-    clock_.after(c.timeout, [done] { done({HttpReply::kNoAnswer, {}}); });
-    const bool lose =
-        c.service != Service::peer && std::uniform_real_distribution<>(0, 1)(rng_) < lost_answers_;
+    clock_.after(c.timeout, [done] { done({HttpResult::kNoResponse, {}}); });
+    const bool lose = c.service != Destination::peer &&
+                      std::uniform_real_distribution<>(0, 1)(rng_) < lost_answers_;
     const auto deliver = [this, i, c, done, lose] {
         repeat_later(i, c);
         const bool watch = c.target.starts_with("/watch");
-        serve(i, c, [this, i, service = c.service, done, lose, watch](const HttpReply& reply) {
+        serve(i, c, [this, i, service = c.service, done, lose, watch](const HttpResult& reply) {
             if (lose || cut_for(nodes_[i], service) != Cut::none) return;
-            const auto delay = latency() + (service == Service::state ? state_delay() : Millis(0));
+            const auto delay =
+                latency() + (service == Destination::state ? state_delay() : Millis(0));
             // Open watches of a node that is refused alone wait.
             if (watch && nodes_[i].refused) return;
             clock_.after(delay, [done, reply] { done(reply); });
         });
     };
     if (cut == Cut::drop) return;
-    if (c.service == Service::worker && clock_.now() < commands_held_until_) {
+    if (c.service == Destination::worker && clock_.now() < commands_held_until_) {
         // Held on the way out only: check-ins and their answers go on meanwhile.
         clock_.at(commands_held_until_ + latency(), deliver);
         return;
@@ -199,7 +200,7 @@
     if (!options_.harsh || c.method != "POST" || harsh_rng_() % 30 != 0) return;
     const auto span = static_cast<std::uint64_t>(config_.lease.count()) * 3;
     clock_.after(Millis(5 + static_cast<std::int64_t>(harsh_rng_() % span)),
-                 [this, i, c] { serve(i, c, [](const HttpReply&) {}); });
+                 [this, i, c] { serve(i, c, [](const HttpResult&) {}); });
 }
 
 Millis World::state_delay() {
@@ -208,13 +209,13 @@
 }
 
 void World::serve(std::size_t i, const HttpCall& c, StateStandIn::Reply reply) {
-    if (c.service == Service::state) {
+    if (c.service == Destination::state) {
         if (c.target == "/multi" && strikes(late_writes_)) {
             serve_late(c);
             return;
         }
         if (c.target == "/multi" && strikes(lost_write_answers_)) {
-            state_.handle(c.method, c.target, c.body, [](const HttpReply&) {});
+            state_.handle(c.method, c.target, c.body, [](const HttpResult&) {});
             return;
         }
         if (nodes_[i].refused && !c.target.starts_with("/watch")) {
@@ -222,12 +223,12 @@
         } else if (!nodes_[i].refused) {
             state_.handle(c.method, c.target, c.body, std::move(reply));
         }
-    } else if (c.service == Service::cloud) {
+    } else if (c.service == Destination::cloud) {
         reply(cloud_.handle(c.method, c.target, c.body));
-    } else if (c.service == Service::peer) {
+    } else if (c.service == Destination::peer) {
         const auto to = node_named(c.endpoint);
         if (nodes_[to].from_nodes != Cut::none) return;
-        request(to, Plane::back, c.method, c.target, c.body, [reply](const Answer& a) {
+        request(to, Listener::back, c.method, c.target, c.body, [reply](const HttpResponse& a) {
             reply({a.status, a.body});
         });
     } else {
@@ -248,9 +249,9 @@
     }
 }
 
-void World::request(std::size_t i, Plane plane, const std::string& method,
+void World::request(std::size_t i, Listener plane, const std::string& method,
                     const std::string& target, const std::string& body,
-                    std::function<void(const Answer&)> then) {
+                    std::function<void(const HttpResponse&)> then) {
     auto& node = nodes_[i];
     if (!node.core) return;
     const RequestId id(++next_request_);
@@ -271,12 +272,12 @@
     const auto sequence = workers_.at(host)->sequence();
     const auto deliver = [this, host, i, body, sequence] {
         if (nodes_[i].from_workers != Cut::none) return;
-        request(i, Plane::front, "POST", "/checkin", body,
-                [this, host, i, sequence](const Answer& a) {
+        request(i, Listener::front, "POST", "/checkin", body,
+                [this, host, i, sequence](const HttpResponse& a) {
                     if (nodes_[i].from_workers != Cut::none || worker_cut(host) != Cut::none) {
                         return;
                     }
-                    const HttpReply reply{a.status, a.body};
+                    const HttpResult reply{a.status, a.body};
                     clock_.after(latency(), [this, host, sequence, reply] {
                         const auto it = workers_.find(host);
                         if (it != workers_.end()) it->second->checkin_answered(sequence, &reply);
@@ -300,7 +301,7 @@
     const auto span = static_cast<std::uint64_t>(config_.lease.count()) * 3;
     const auto to = rng_() % 2 ? i : rng_() % nodes_.size();
     clock_.after(Millis(500 + static_cast<std::int64_t>(rng_() % span)), [this, to, body] {
-        request(to, Plane::front, "POST", "/checkin", body, [](const Answer&) {});
+        request(to, Listener::front, "POST", "/checkin", body, [](const HttpResponse&) {});
     });
 }
 
--- a/tests/sim/world_users.cpp
+++ b/tests/sim/world_users.cpp
@@ -5,8 +5,8 @@
 
 namespace dunebridge::sim {
 
-using controller::Plane;
-using sansio::Answer;
+using controller::Listener;
+using sansio::HttpResponse;
 using wire::JobPhase;
 
 void World::make_users(int jobs) {
@@ -211,8 +211,8 @@
     wire::Writer w;
     wire::encode_job(w, user.spec);
     const auto body = w.take();
-    request(rng_() % nodes_.size(), Plane::front, "POST", "/v1/jobs", body,
-            [this, &user, body, asked = clock_.now()](const Answer& a) {
+    request(rng_() % nodes_.size(), Listener::front, "POST", "/v1/jobs", body,
+            [this, &user, body, asked = clock_.now()](const HttpResponse& a) {
                 if (a.status == 400 || a.status == 422) {
                     broken("forgotten", user.spec.id.get() + " refused");
                 }
@@ -241,8 +241,8 @@
 // was told of the end may be the older one.
 void World::ask_again(User& user, std::size_t node, const std::string& method,
                       const std::string& target, const std::string& body, const char* when) {
-    request(node, Plane::front, method, target, body,
-            [this, &user, when, asked = clock_.now()](const Answer& a) {
+    request(node, Listener::front, method, target, body,
+            [this, &user, when, asked = clock_.now()](const HttpResponse& a) {
                 if (a.status == 404 || a.status == 400 || a.status == 422) {
                     broken("forgotten", fmt::format("{} ({})", user.spec.id.get(), when));
                 }
@@ -252,8 +252,8 @@
 
 void World::poll(User& user) {
     // Also after the end: what was told must stay so, at every node.
-    request(rng_() % nodes_.size(), Plane::front, "GET", "/v1/jobs/" + user.spec.id.get(), {},
-            [this, &user, asked = clock_.now()](const Answer& a) {
+    request(rng_() % nodes_.size(), Listener::front, "GET", "/v1/jobs/" + user.spec.id.get(), {},
+            [this, &user, asked = clock_.now()](const HttpResponse& a) {
                 if (a.status == 404) broken("forgotten", user.spec.id.get());
                 // An answer under way while the user was told of the end may be the older one.
                 if (a.status == 200 && asked >= user.final_told) told(user, a);
@@ -271,8 +271,8 @@
 
 void World::abort_at(User& user, std::size_t node) {
     user.abort_asked = true;
-    request(node, Plane::front, "POST", "/v1/jobs/" + user.spec.id.get() + "/abort", {},
-            [this, &user](const Answer& a) {
+    request(node, Listener::front, "POST", "/v1/jobs/" + user.spec.id.get() + "/abort", {},
+            [this, &user](const HttpResponse& a) {
                 if (a.status == 404) broken("forgotten", user.spec.id.get() + " (abort)");
                 if (a.status != 200) return;
                 told(user, a);
@@ -282,7 +282,7 @@
             });
 }
 
-void World::told(User& user, const Answer& a) {
+void World::told(User& user, const HttpResponse& a) {
     user.last_answer = clock_.now();
     const auto doc = wire::Document::parse(a.body);
     const auto phase = doc->root()["phase"].need_text("phase");
@@ -312,8 +312,8 @@
 }
 
 void World::ask_unknown() {
-    request(rng_() % nodes_.size(), Plane::front, "GET", "/v1/jobs/req-999999999", {},
-            [this](const Answer& a) {
+    request(rng_() % nodes_.size(), Listener::front, "GET", "/v1/jobs/req-999999999", {},
+            [this](const HttpResponse& a) {
                 if (a.status == 200) broken("invented", "req-999999999");
             });
     clock_.after(Millis(5000), [this] { ask_unknown(); });
--- a/tests/startup_monitor_test.cpp
+++ b/tests/startup_monitor_test.cpp
@@ -13,8 +13,8 @@
 struct Startups : testing::Test {
     sim::LedgerFixture world;
     CloudClient cloud{world.port, 5};
-    MachineTypes types{world.port, cloud};
-    StartupMonitor monitor{world.port, world.ledger, types};
+    MachineTypeCatalog types{world.port, cloud};
+    BootMonitor monitor{world.port, world.ledger, types};
     int machines = 0;
 
     state::Machine& rent(const std::string& zone = "a") {
@@ -73,7 +73,7 @@
     pass(kNominal_s);
     come_up(other);
     pass(1.1 * kNominal_s);
-    const Market failing{"big", "a", true};
+    const InstancePool failing{"big", "a", true};
     auto allowances = monitor.allowances();
     ASSERT_TRUE(allowances.contains(failing));
     EXPECT_EQ(allowances.at(failing), 0u);
@@ -114,7 +114,7 @@
 // What an earlier leader rented is judged by when it was rented, and says nothing of boot times.
 TEST_F(Startups, MachinesOfAnEarlierLeaderAreJudgedToo) {
     auto& machine = world.add_machine(1);
-    machine.cloud.rented_at = world.now - from_seconds(3 * kNominal_s);
+    machine.cloud.provisioned_at = world.now - from_seconds(3 * kNominal_s);
     monitor.update();
     EXPECT_TRUE(monitor.to_replace(machine));
     come_up(machine);
@@ -124,11 +124,11 @@
 TEST_F(Startups, AMachineIsGivenUpLaterWhereNothingElseComesEither) {
     auto& late = rent("a");
     auto& other = rent("a");
-    const auto alone = monitor.give_up_after(late);
+    const auto alone = monitor.release_after(late);
     EXPECT_GT(alone, from_seconds(6 * kNominal_s));
     pass(kNominal_s);
     come_up(other);
-    EXPECT_LT(monitor.give_up_after(late), from_seconds(4 * kNominal_s));
+    EXPECT_LT(monitor.release_after(late), from_seconds(4 * kNominal_s));
 }
 
 }  // namespace
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -39,8 +39,8 @@
     s.set_writes_lost(true);
     end_task(w, first.id);
     play(s, {&w}, 1);
-    s.write(kv::end_key(first.id),
-            encode(kv::EndRecord{wire::JobPhase::cancelled, std::nullopt, 1}).packed);
+    s.write(kv::terminal_key(first.id),
+            encode(kv::TerminalRecord{wire::JobPhase::cancelled, std::nullopt, 1}).packed);
     s.set_writes_lost(false);
     play(s, {&w}, 5);
     EXPECT_TRUE(s.logged("event=commit_unknown"));
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -167,7 +167,7 @@
     script.run(Millis(300));
     ASSERT_EQ(script.directs().size(), 1u);
     for (const auto& order : script.directs()[0].commands.orders) {
-        wire::TaskReport t;
+        wire::TaskStatus t;
         t.task = order.task;
         t.attempt = order.attempt;
         t.phase = order.task.index == 0 ? wire::TaskPhase::exited : wire::TaskPhase::running;
