--- a/tests/startup_monitor_test.cpp
+++ b/tests/boot_monitor_test.cpp
@@ -1,17 +1,18 @@
 // Machines that come up late or never are replaced within bounds, and places that do not deliver
 // are left alone for a while.
+#include "provisioning/boot_monitor.hpp"
+
 #include <gtest/gtest.h>
 
-#include "provisioning/boot_monitor.hpp"
-#include "sim/ledger_fixture.hpp"
+#include "sim/cluster_state_fixture.hpp"
 
 namespace dunebridge::provisioning {
 namespace {
 
 constexpr double kNominal_s = 60;  // of a type that is not known
 
-struct Startups : testing::Test {
-    sim::LedgerFixture world;
+struct BootMonitorTest : testing::Test {
+    sim::ClusterStateFixture world;
     CloudClient cloud{world.port, 5};
     MachineTypeCatalog types{world.port, cloud};
     BootMonitor monitor{world.port, world.ledger, types};
@@ -40,7 +41,7 @@
     }
 };
 
-TEST_F(Startups, AMachineIsOverdueAfterTwiceTheNominalTimeAtFirst) {
+TEST_F(BootMonitorTest, AMachineIsOverdueAfterTwiceTheNominalTimeAtFirst) {
     auto& machine = rent();
     pass(1.9 * kNominal_s);
     EXPECT_FALSE(monitor.to_replace(machine));
@@ -49,7 +50,7 @@
     EXPECT_TRUE(monitor.to_replace(machine));
 }
 
-TEST_F(Startups, TheLimitFollowsWhatIsObserved) {
+TEST_F(BootMonitorTest, TheLimitFollowsWhatIsObserved) {
     BootTimeEstimate slow;
     BootTimeEstimate quick;
     for (int n = 0; n < 60; ++n) {
@@ -61,13 +62,13 @@
     EXPECT_DOUBLE_EQ(quick.limit_s(kNominal_s), 1.5 * kNominal_s);
 }
 
-TEST_F(Startups, ACloudThatIsSlowEverywhereStartsNoStormOfRentals) {
+TEST_F(BootMonitorTest, ACloudThatIsSlowEverywhereStartsNoStormOfRentals) {
     for (int n = 0; n < 100; ++n) rent(n % 2 ? "a" : "b");
     pass(2.1 * kNominal_s);
     EXPECT_EQ(replaced(), 20u);
 }
 
-TEST_F(Startups, APlaceThatDeliversNothingIsAskedLess) {
+TEST_F(BootMonitorTest, APlaceThatDeliversNothingIsAskedLess) {
     rent("a");
     auto& other = rent("b");
     pass(kNominal_s);
@@ -90,7 +91,7 @@
     EXPECT_TRUE(monitor.allowances().empty());
 }
 
-TEST_F(Startups, ThePauseDoublesWhileNothingComes) {
+TEST_F(BootMonitorTest, ThePauseDoublesWhileNothingComes) {
     rent();
     pass(2.1 * kNominal_s);
     pass(31);
@@ -102,7 +103,7 @@
     EXPECT_EQ(monitor.allowances().at({"big", "a", true}), 2u);
 }
 
-TEST_F(Startups, ALateMachineCountsAgainWhenItComes) {
+TEST_F(BootMonitorTest, ALateMachineCountsAgainWhenItComes) {
     auto& machine = rent();
     pass(3 * kNominal_s);
     ASSERT_TRUE(monitor.to_replace(machine));
@@ -112,7 +113,7 @@
 }
 
 // What an earlier leader rented is judged by when it was rented, and says nothing of boot times.
-TEST_F(Startups, MachinesOfAnEarlierLeaderAreJudgedToo) {
+TEST_F(BootMonitorTest, MachinesOfAnEarlierLeaderAreJudgedToo) {
     auto& machine = world.add_machine(1);
     machine.cloud.provisioned_at = world.now - from_seconds(3 * kNominal_s);
     monitor.update();
@@ -121,7 +122,7 @@
     EXPECT_FALSE(monitor.to_replace(machine));
 }
 
-TEST_F(Startups, AMachineIsGivenUpLaterWhereNothingElseComesEither) {
+TEST_F(BootMonitorTest, AMachineIsGivenUpLaterWhereNothingElseComesEither) {
     auto& late = rent("a");
     auto& other = rent("a");
     const auto alone = monitor.release_after(late);
--- a/tests/bad_nights_test.cpp
+++ b/tests/compound_fault_test.cpp
@@ -5,27 +5,27 @@
 
 #include <ostream>
 
-#include "sim/drawn.hpp"
-#include "sim/expect.hpp"
-#include "sim/fleet_day.hpp"
-#include "sim/world.hpp"
+#include "sim/expectations.hpp"
+#include "sim/large_fleet_scenario.hpp"
+#include "sim/random_scenarios.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 namespace {
 
-using Unreached = World::Unreached;
+using WorkerFault = SimulatedCluster::WorkerFault;
 
 Millis s(double seconds) { return from_seconds(seconds); }
 
 struct Night {
     const char* name;
-    void (*bring_about)(World&);
-    void (*options)(Options&) = [](Options&) {};
+    void (*bring_about)(SimulatedCluster&);
+    void (*options)(ScenarioOptions&) = [](ScenarioOptions&) {};
 };
 
 void PrintTo(const Night& night, std::ostream* out) { *out << night.name; }
 
-void restart_in_turn(World& world) {
+void restart_in_turn(SimulatedCluster& world) {
     for (std::size_t node = 0; node < world.nodes(); ++node) {
         world.crash_node(node, s(4));
         world.run_for(s(12));
@@ -34,49 +34,49 @@
 
 const Night kNights[] = {
     {"MachinesLateEverywhere",
-     [](World& w) {
-         w.boot_trouble(5, 0.2, s(90));
-         w.machines_die(60);
+     [](SimulatedCluster& w) {
+         w.inject_boot_fault(5, 0.2, s(90));
+         w.kill_machines(60);
          w.run_for(s(100));
      }},
     {"NoMachinesFromOneZoneWhileTheOtherIsCutOff",
-     [](World& w) {
-         w.boot_trouble(1, 1, s(90), "a");
+     [](SimulatedCluster& w) {
+         w.inject_boot_fault(1, 1, s(90), "a");
          w.cut_zone("b", w.leader(), s(30));
-         w.machines_die(40);
+         w.kill_machines(40);
          w.run_for(s(100));
      }},
     {"MachinesLateOverAChangeOfLeader",
-     [](World& w) {
-         w.boot_trouble(6, 0.3, s(60));
-         w.machines_die(50);
+     [](SimulatedCluster& w) {
+         w.inject_boot_fault(6, 0.3, s(60));
+         w.kill_machines(50);
          w.run_for(s(10));
          w.crash_leader(s(4));
          w.run_for(s(60));
      }},
     {"AllSilentForOverAMinute",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.cancel_running(3);
          w.crash_all(s(80));
          w.run_for(s(90));
      }},
     {"AllStandStillForOverAMinute",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.cancel_running(3);
          w.run_for(s(0.1));
-         w.all_stand_still(s(70));
+         w.stall_all_processes(s(70));
          w.run_for(s(80));
      }},
     {"AllSilentWithAnOutageBeyondTheTimeOfCancellations",
-     [](World& w) {
-         w.state_outage(s(60));
+     [](SimulatedCluster& w) {
+         w.kv_store_outage(s(60));
          w.cancel_running(4);
          w.run_for(s(5));
          w.crash_all(s(62));
          w.run_for(s(70));
      }},
     {"OneSilentForOverAMinuteThenAnother",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          const auto first = w.leader();
          w.crash_node(first, s(90));
          w.run_for(s(80));
@@ -85,109 +85,109 @@
          w.run_for(s(80));
      }},
     {"ALeaderStopsInAnElectionALoadAndATransaction",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          for (int i = 0; i < 6; ++i) {
              w.crash_leader(s(0.2));
              // While the others elect, while the new leader loads, and while it commits.
              w.run_for(Millis(i % 3 == 0 ? 900 : i % 3 == 1 ? 3300 : 5000));
              const auto leader = w.leader();
-             w.stand_still(leader < w.nodes() ? leader : 1, s(1 + 6 * i));
+             w.stall_process(leader < w.nodes() ? leader : 1, s(1 + 6 * i));
              w.cancel_running(1);
              w.run_for(s(9));
          }
      }},
     {"AStoppedLeaderAndLateCommands",
-     [](World& w) {
-         w.hold_commands(s(9));
+     [](SimulatedCluster& w) {
+         w.delay_commands(s(9));
          w.run_for(s(1));
-         w.stand_still(w.leader(), s(18));
+         w.stall_process(w.leader(), s(18));
          w.run_for(s(2));
          w.cancel_running(5);
          w.run_for(s(30));
      }},
     {"AStoppedLeaderAndLateWrites",
-     [](World& w) {
-         w.late_writes(0.3, s(30));
+     [](SimulatedCluster& w) {
+         w.delay_transactions(0.3, s(30));
          w.run_for(s(5));
-         w.stand_still(w.leader(), s(7));
+         w.stall_process(w.leader(), s(7));
          w.run_for(s(2));
          w.cancel_running(4);
          w.run_for(s(40));
      }},
     {"AStoppedLeaderWhileOthersConfirmCancellations",
-     [](World& w) {
-         w.stand_still(w.leader(), s(2.5));
+     [](SimulatedCluster& w) {
+         w.stall_process(w.leader(), s(2.5));
          w.run_for(s(0.2));
          w.cancel_running(6);
          w.run_for(s(10));
-         w.stand_still(w.leader(), s(50));
+         w.stall_process(w.leader(), s(50));
          w.run_for(s(0.2));
          w.cancel_running(6);
          w.run_for(s(60));
      },
-     [](Options& o) { o.task_s = 120; }},
+     [](ScenarioOptions& o) { o.task_s = 120; }},
     {"MassesOfPollsAndARollingRestart",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.poll_storm(8, s(50));
          restart_in_turn(w);
          w.cancel_running(4);
          w.run_for(s(20));
      }},
     {"GuestsWhileTheStateServiceIsSlowAndWritesLag",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.run_for(s(10));
-         w.state_slow(s(40));
-         w.late_writes(0.1, s(40));
+         w.slow_kv_store(s(40));
+         w.delay_transactions(0.1, s(40));
          w.run_for(s(30));
          w.crash_leader(s(4));
          w.run_for(s(30));
      },
-     [](Options& o) { o.guests = true; }},
+     [](ScenarioOptions& o) { o.guest_team = true; }},
     {"GuestsDuringTheLossOfAZone",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.run_for(s(15));
          w.cut_zone("a", w.leader(), s(30));
-         w.machines_die(30);
+         w.kill_machines(30);
          w.run_for(s(50));
      },
-     [](Options& o) { o.guests = true; }},
+     [](ScenarioOptions& o) { o.guest_team = true; }},
     {"FaultyJobsWhileATeamIsAtItsLimitAndMachinesHang",
-     [](World& w) {
-         w.machines_unreached(Unreached::hung, 40, s(12));
+     [](SimulatedCluster& w) {
+         w.inject_worker_fault(WorkerFault::hung, 40, s(12));
          w.run_for(s(5));
          w.cancel_running(4);
          w.crash_leader(s(3));
          w.run_for(s(40));
      },
-     [](Options& o) {
-         o.mistaken_percent = 30;
+     [](ScenarioOptions& o) {
+         o.failing_jobs_percent = 30;
          o.jobs = 50;
      }},
 };
 
-Options night_options(std::uint64_t seed) {
-    Options options;
+ScenarioOptions night_options(std::uint64_t seed) {
+    ScenarioOptions options;
     options.seed = seed;
     options.fault_every_s = 0;
-    options.troubles_s = 160;
-    options.finish_s = 2500;
+    options.faults_s = 160;
+    options.drain_s = 2500;
     return options;
 }
 
-class BadNights : public testing::TestWithParam<std::tuple<Night, std::uint64_t>> {};
+class CompoundFaults : public testing::TestWithParam<std::tuple<Night, std::uint64_t>> {};
 
-TEST_P(BadNights, RulesHoldAndJobsEnd) {
+TEST_P(CompoundFaults, RulesHoldAndJobsEnd) {
     const auto& [night, seed] = GetParam();
     auto options = night_options(seed);
     night.options(options);
-    World world(options);
+    SimulatedCluster world(options);
     world.run_for(s(45));
     night.bring_about(world);
     world.run();
-    expect_over(world);
+    expect_completed(world);
     EXPECT_EQ(world.starts_long_after_cancellation(), 0u);
 }
-INSTANTIATE_TEST_SUITE_P(Named, BadNights,
+INSTANTIATE_TEST_SUITE_P(Named, CompoundFaults,
                          testing::Combine(testing::ValuesIn(kNights),
                                           testing::Range<std::uint64_t>(1, 4)),
                          [](const auto& p) {
@@ -196,13 +196,13 @@
                          });
 
 // The roll-out from the version in production during each of them.
-class BadNightsInARollOut : public testing::TestWithParam<Night> {};
+class CompoundFaultsDuringRollout : public testing::TestWithParam<Night> {};
 
-TEST_P(BadNightsInARollOut, RulesHoldAndJobsEnd) {
+TEST_P(CompoundFaultsDuringRollout, RulesHoldAndJobsEnd) {
     auto options = night_options(9);
     options.old_format = config::kChunkFormat;
     GetParam().options(options);
-    World world(options);
+    SimulatedCluster world(options);
     world.run_for(s(40));
     world.upgrade(0, s(3));
     world.run_for(s(5));
@@ -212,20 +212,20 @@
         world.run_for(s(8));
     }
     world.run();
-    expect_over(world);
+    expect_completed(world);
     EXPECT_EQ(world.format(), config::kNewestFormat);
 }
-INSTANTIATE_TEST_SUITE_P(Named, BadNightsInARollOut, testing::ValuesIn(kNights),
+INSTANTIATE_TEST_SUITE_P(Named, CompoundFaultsDuringRollout, testing::ValuesIn(kNights),
                          [](const auto& p) { return std::string(p.param.name); });
 
 // Hundreds of small jobs that are asked about by the thousand: what users ask stays within its part
 // of the state service's rate, so that two changes of leader cost two terms.
-TEST(MassesOfPolls, LeaveTheLeaderItsPartOfTheRate) {
+TEST(PollStorm, LeaveTheLeaderItsPartOfTheRate) {
     auto options = night_options(3);
     options.jobs = 400;
     options.most_tasks = 1;
     options.machines = 40;
-    World world(options);
+    SimulatedCluster world(options);
     world.run_for(s(110));
     world.poll_storm(8, s(70));
     for (int i = 0; i < 2; ++i) {
@@ -236,14 +236,14 @@
     EXPECT_EQ(world.terms(), 3u);
     EXPECT_LT(world.state().refusals() * 100, world.state().requests());
     world.run();
-    expect_over(world);
+    expect_completed(world);
 }
 
 // A fleet of hundreds in CI; the same day at any size is `fleet MACHINES` (CONTRIBUTING.md).
 TEST(LargeFleet, KeepsItsTasksOverAChangeOfLeaderAndASilenceOfAll) {
-    World world(fleet_options(400));
+    SimulatedCluster world(fleet_options(400));
     const auto day = run_fleet_day(world);
-    expect_over(world);
+    expect_completed(world);
     EXPECT_GT(day.most_up, 300u);
     EXPECT_EQ(day.killed_by_lease, 0u);
     EXPECT_EQ(world.state().violations(), 0u);
@@ -255,28 +255,28 @@
     auto options = night_options(5);
     options.jobs = 40;
     options.machines = 30;
-    options.mistaken_percent = 25;
-    World world(options);
+    options.failing_jobs_percent = 25;
+    SimulatedCluster world(options);
     world.run();
-    expect_over(world);
+    expect_completed(world);
     EXPECT_EQ(world.returned_with_tasks(), 0u);
     auto without = options;
-    without.mistaken_percent = 0;
-    World healthy(without);
+    without.failing_jobs_percent = 0;
+    SimulatedCluster healthy(without);
     healthy.run();
     EXPECT_LT(world.machines_rented(), healthy.machines_rented() * 2);
 }
 
 // Days of these troubles and all older ones, drawn by a seed.
-class DrawnNights : public testing::TestWithParam<std::uint64_t> {};
+class RandomCompoundFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(DrawnNights, RulesHoldAndJobsEnd) {
+TEST_P(RandomCompoundFaults, RulesHoldAndJobsEnd) {
     const auto seed = GetParam();
-    World world(drawn_night_options(seed));
-    run_drawn_night(world);
-    expect_over(world);
+    SimulatedCluster world(random_compound_options(seed));
+    run_random_compound_scenario(world);
+    expect_completed(world);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, DrawnNights, testing::Range<std::uint64_t>(9000, 9024));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomCompoundFaults, testing::Range<std::uint64_t>(9000, 9024));
 
 }  // namespace
 }  // namespace dunebridge::sim
--- a/tests/meetings_test.cpp
+++ b/tests/concurrent_fault_test.cpp
@@ -5,19 +5,19 @@
 
 #include <ostream>
 
-#include "sim/drawn.hpp"
-#include "sim/expect.hpp"
-#include "sim/world.hpp"
+#include "sim/expectations.hpp"
+#include "sim/random_scenarios.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 namespace {
 
-using Unreached = World::Unreached;
+using WorkerFault = SimulatedCluster::WorkerFault;
 
 struct Meeting {
     const char* name;
-    void (*bring_about)(World&);
-    void (*options)(Options&) = [](Options&) {};
+    void (*bring_about)(SimulatedCluster&);
+    void (*options)(ScenarioOptions&) = [](ScenarioOptions&) {};
 };
 
 void PrintTo(const Meeting& meeting, std::ostream* out) { *out << meeting.name; }
@@ -26,101 +26,101 @@
 
 const Meeting kMeetings[] = {
     {"CommandsHeldAndTheMachineGoesOn",
-     [](World& w) {
-         w.hold_commands(s(9));
-         w.machines_unreached(Unreached::hung, 60, s(8));
+     [](SimulatedCluster& w) {
+         w.delay_commands(s(9));
+         w.inject_worker_fault(WorkerFault::hung, 60, s(8));
          w.run_for(s(1));
          w.cancel_running(4);
          w.run_for(s(12));
      }},
     {"CancelledAsTheLeaderIsRefusedThenAnOutage",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.refuse_leader(s(14));
          w.run_for(s(0.2));
          w.cancel_running(6);
          w.run_for(s(1));
-         w.state_outage(s(58));
+         w.kv_store_outage(s(58));
          w.run_for(s(60));
      }},
     {"CancelledAtANodeThatNoPeerHears",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.refuse_leader(s(14));
          w.cut_node((w.leader() + 1) % w.nodes(), {false, true, false}, false, s(70));
          w.run_for(s(0.2));
          w.cancel_running(6);
          w.run_for(s(1));
-         w.state_outage(s(68));
+         w.kv_store_outage(s(68));
          w.run_for(s(70));
      },
-     [](Options& o) { o.task_s = 150; }},
+     [](ScenarioOptions& o) { o.task_s = 150; }},
     {"TenLeadersInTwoMinutesAlsoInAnOutage",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          for (int i = 0; i < 10; ++i) {
              w.crash_leader(s(0.3 + 0.4 * i));
-             if (i % 4 == 1) w.state_outage(s(9));
+             if (i % 4 == 1) w.kv_store_outage(s(9));
              w.cancel_running(1);
              w.run_for(s(11));
          }
      }},
     {"MoreWorkThanRoomOverSlowLinks",
-     [](World& w) {
-         w.state_slow(s(40));
-         w.hold_commands(s(5));
+     [](SimulatedCluster& w) {
+         w.slow_kv_store(s(40));
+         w.delay_commands(s(5));
          w.run_for(s(20));
          w.cancel_running(4);
          w.crash_leader(s(2));
          w.run_for(s(30));
      },
-     [](Options& o) {
+     [](ScenarioOptions& o) {
          o.jobs = 60;
          o.machines = 3;
      }},
     {"SlowThenTheLeaderRefusedThenAll",
-     [](World& w) {
-         w.state_slow(s(12));
+     [](SimulatedCluster& w) {
+         w.slow_kv_store(s(12));
          w.run_for(s(10));
          w.refuse_leader(s(12));
          w.cancel_running(3);
          w.run_for(s(3));
          w.cancel_running(3);
-         w.state_outage(s(50));
+         w.kv_store_outage(s(50));
          w.run_for(s(60));
      }},
     {"TasksEndFarApartOverChangesOfLeader",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          for (int i = 0; i < 4; ++i) {
              w.crash_leader(s(3));
-             w.late_writes(0.2, s(6));
+             w.delay_transactions(0.2, s(6));
              w.run_for(s(13));
          }
      },
-     [](Options& o) { o.most_tasks = 3; }},
+     [](ScenarioOptions& o) { o.most_tasks = 3; }},
     {"AllControllersAwayBeyondTheLease",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.cancel_running(3);
          w.crash_all(s(21));
          w.run_for(s(30));
      }},
     {"LeaderEndsWhileMachinesAreNotReached",
-     [](World& w) {
-         w.machines_unreached(Unreached::cut, 40, s(22));
-         w.machines_unreached(Unreached::unresponsive, 40, s(25));
+     [](SimulatedCluster& w) {
+         w.inject_worker_fault(WorkerFault::cut, 40, s(22));
+         w.inject_worker_fault(WorkerFault::unresponsive, 40, s(25));
          w.run_for(s(1));
          w.crash_leader(s(4));
          w.cancel_running(3);
          w.run_for(s(35));
      },
-     [](Options& o) { o.task_s = 60; }},
+     [](ScenarioOptions& o) { o.task_s = 60; }},
     {"TransactionsCarriedOutAfterNewerOnes",
-     [](World& w) {
-         w.late_writes(0.3, s(50));
+     [](SimulatedCluster& w) {
+         w.delay_transactions(0.3, s(50));
          w.run_for(s(15));
          w.cancel_running(4);
          w.crash_leader(s(1));
          w.run_for(s(35));
      }},
     {"AZoneCutOffBeyondTheLeaseWithAController",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.cut_zone("a", w.leader(), s(25));
          w.run_for(s(2));
          w.cancel_running(5);
@@ -130,23 +130,23 @@
          w.run_for(s(30));
      }},
     {"ReportsArriveAfterANewLeaderHasActed",
-     [](World& w) {
-         w.machines_unreached(Unreached::held, 60, s(9));
-         w.late_reports(0.6, s(40));
+     [](SimulatedCluster& w) {
+         w.inject_worker_fault(WorkerFault::held, 60, s(9));
+         w.duplicate_heartbeats(0.6, s(40));
          w.run_for(s(1));
          w.crash_leader(s(2));
          w.run_for(s(40));
      }},
     {"JobsBoundToAZoneLoseMachines",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          for (int i = 0; i < 3; ++i) {
-             w.machines_die(50);
+             w.kill_machines(50);
              w.cut_zone(i % 2 ? "a" : "b", 0, s(8));
              w.run_for(s(15));
          }
      }},
     {"HandOverAndBackAllEndOneReturns",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          for (int i = 0; i < 3; ++i) {
              w.crash_leader(s(0.4));
              w.run_for(s(5));
@@ -159,71 +159,71 @@
          }
      }},
     {"AnIsolatedLeaderKeepsItsWorkersAndUsers",
-     [](World& w) {
+     [](SimulatedCluster& w) {
          w.cut_node(w.leader(), {true, true, false}, true, s(50));
          w.run_for(s(4));
          w.cancel_running(8);
          w.run_for(s(50));
      },
-     [](Options& o) { o.task_s = 100; }},
+     [](ScenarioOptions& o) { o.task_s = 100; }},
     {"MuteMachines",
-     [](World& w) {
-         w.machines_unreached(Unreached::mute, 60, s(30));
+     [](SimulatedCluster& w) {
+         w.inject_worker_fault(WorkerFault::mute, 60, s(30));
          w.run_for(s(5));
          w.cancel_running(4);
          w.crash_leader(s(3));
          w.run_for(s(30));
      }},
     {"CancelledAskedAndSubmittedAsTheLastTaskEnds",
-     [](World& w) {
-         w.cancel_at_end(0.7, s(90));
-         w.odd_requests(s(90));
+     [](SimulatedCluster& w) {
+         w.cancel_on_completion(0.7, s(90));
+         w.inject_invalid_requests(s(90));
          w.run_for(s(90));
      }},
     {"OldReportsOfEarlierSessionsAndAttempts",
-     [](World& w) {
-         w.late_reports(0.8, s(60));
-         w.machines_unreached(Unreached::cut, 50, s(18));
+     [](SimulatedCluster& w) {
+         w.duplicate_heartbeats(0.8, s(60));
+         w.inject_worker_fault(WorkerFault::cut, 50, s(18));
          w.run_for(s(20));
-         w.machines_unreached(Unreached::hung, 50, s(18));
-         w.hold_commands(s(6));
+         w.inject_worker_fault(WorkerFault::hung, 50, s(18));
+         w.delay_commands(s(6));
          w.run_for(s(40));
      }},
     {"ATeamAtItsLimitOverAChangeOfLeader",
-     [](World& w) {
-         w.machines_unreached(Unreached::held, 40, s(20));
+     [](SimulatedCluster& w) {
+         w.inject_worker_fault(WorkerFault::held, 40, s(20));
          w.crash_leader(s(3));
          w.run_for(s(0.5));
          w.cancel_running(6);
          w.run_for(s(30));
      },
-     [](Options& o) {
+     [](ScenarioOptions& o) {
          o.jobs = 60;
          o.machines = 16;
          o.task_s = 20;
      }},
 };
 
-class Meetings : public testing::TestWithParam<std::tuple<Meeting, std::uint64_t>> {};
+class ConcurrentFaults : public testing::TestWithParam<std::tuple<Meeting, std::uint64_t>> {};
 
-TEST_P(Meetings, RulesHoldAndJobsEnd) {
+TEST_P(ConcurrentFaults, RulesHoldAndJobsEnd) {
     const auto& [meeting, seed] = GetParam();
-    Options options;
+    ScenarioOptions options;
     options.seed = seed;
     options.fault_every_s = 0;
-    options.troubles_s = 150;
-    options.finish_s = 2000;
+    options.faults_s = 150;
+    options.drain_s = 2000;
     meeting.options(options);
-    World world(options);
+    SimulatedCluster world(options);
     world.run_for(s(45));
     meeting.bring_about(world);
     world.run();
-    expect_over(world);
+    expect_completed(world);
     // The leader hears of a cancellation before the user does, or does not reach the machines
     // either.
     EXPECT_EQ(world.starts_after_cancellation(), 0u);
 }
-INSTANTIATE_TEST_SUITE_P(Named, Meetings,
+INSTANTIATE_TEST_SUITE_P(Named, ConcurrentFaults,
                          testing::Combine(testing::ValuesIn(kMeetings),
                                           testing::Range<std::uint64_t>(1, 4)),
                          [](const auto& p) {
@@ -232,14 +232,14 @@
                          });
 
 // Twos and threes of all troubles, so that meetings which nobody named are met too.
-class Drawn : public testing::TestWithParam<std::uint64_t> {};
+class RandomScenarios : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Drawn, RulesHoldAndJobsEnd) {
-    World world(drawn_options(GetParam()));
-    run_drawn(world, GetParam());
-    expect_over(world);
+TEST_P(RandomScenarios, RulesHoldAndJobsEnd) {
+    SimulatedCluster world(random_scenario_options(GetParam()));
+    run_random_scenario(world, GetParam());
+    expect_completed(world);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, Drawn, testing::Range<std::uint64_t>(7000, 7024));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomScenarios, testing::Range<std::uint64_t>(7000, 7024));
 
 }  // namespace
 }  // namespace dunebridge::sim
--- a/tests/scripted_test.cpp
+++ b/tests/controller_test.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "sim/script.hpp"
+#include "sim/controller_harness.hpp"
 
 namespace dunebridge::sim {
 namespace {
@@ -22,7 +22,7 @@
 }
 
 // A controller that leads, and its first machine, for which the job waits.
-ScriptedWorker machine_for(Script& s, const wire::JobSpec& job) {
+HarnessWorker machine_for(ControllerHarness& s, const wire::JobSpec& job) {
     s.run(Millis(3000));
     EXPECT_EQ(s.submit(job), 201);
     auto w = ready_machine(s, 0);
@@ -30,7 +30,7 @@
 }
 
 // Runs on while the worker reports every second and no answer reaches it.
-void report_unanswered(Script& s, ScriptedWorker& w, int seconds) {
+void report_unanswered(ControllerHarness& s, HarnessWorker& w, int seconds) {
     for (int i = 0; i < seconds && !s.returned(w.report.host); ++i) {
         s.checkin(w.next());
         s.run(Millis(1000));
@@ -40,11 +40,11 @@
 // The start of the second job's task is on its way twice: in a check-in's answer, and in a direct
 // command that has no answer yet. The first job's task runs.
 struct StartSentTwice {
-    ScriptedWorker worker;
+    HarnessWorker worker;
     wire::TaskCommand start;
-    Script::Direct direct;
+    ControllerHarness::Direct direct;
 };
-StartSentTwice send_start_twice(Script& s, const wire::JobSpec& first,
+StartSentTwice send_start_twice(ControllerHarness& s, const wire::JobSpec& first,
                                 const wire::JobSpec& second) {
     StartSentTwice sent;
     sent.worker = machine_for(s, first);
@@ -65,8 +65,8 @@
 }
 
 // While a direct command is under way, clearing the attempt would let it start the task once more.
-TEST(Scripted, NothingIsClearedWhileADirectCommandIsUnderWay) {
-    Script s(1);
+TEST(ControllerTest, NothingIsClearedWhileADirectCommandIsUnderWay) {
+    ControllerHarness s(1);
     const auto first = job(1);
     const auto second = job(2);
     const TaskRef task{second.id, 0};
@@ -89,8 +89,8 @@
 
 // A direct command that was carried out may come once more, much later. Whatever clears its attempt
 // carries a token that refuses it.
-TEST(Scripted, ClearingRefusesRepeatsOfTheCommandThatStarted) {
-    Script s(1);
+TEST(ControllerTest, ClearingRefusesRepeatsOfTheCommandThatStarted) {
+    ControllerHarness s(1);
     auto w = machine_for(s, job(1));
     ASSERT_EQ(s.directs().size(), 1u);
     const auto direct = s.directs()[0];
@@ -107,8 +107,8 @@
 }
 
 // Malformed messages are answered and dropped, and do not fill the log.
-TEST(Scripted, ComplaintsOfOneKindAreLimitedInRate) {
-    controller::Controller core(Script::config(), 1, sansio::LogLevel::info);
+TEST(ControllerTest, ComplaintsOfOneKindAreLimitedInRate) {
+    controller::Controller core(ControllerHarness::config(), 1, sansio::LogLevel::info);
     std::vector<controller::Command> batch;
     for (std::uint64_t i = 1; i <= 200; ++i) {
         batch.push_back(controller::Request{RequestId(i), controller::Listener::back, "POST",
@@ -123,11 +123,11 @@
 
 // A leader that stood still for longer than its lease may have been replaced: it answers none of
 // what waited for it as one entitled to.
-TEST(Scripted, NothingIsAnsweredAsTheLeaderAfterAStandStill) {
-    Script s(1);
+TEST(ControllerTest, NothingIsAnsweredAsTheLeaderAfterAStandStill) {
+    ControllerHarness s(1);
     auto w = machine_for(s, job(1));
     ASSERT_EQ(s.checkin(w.next()).first, 200);
-    s.stand_still(Millis(9000));
+    s.stall_process(Millis(9000));
     EXPECT_EQ(s.checkin(w.next()).first, 503);
     s.run(Millis(3000));
     EXPECT_TRUE(s.leads());
@@ -136,8 +136,8 @@
 
 // The start went with a check-in's answer; a direct command that repeats it cannot be sent. That
 // one was not executed proves nothing about the other.
-TEST(Scripted, AnUnsentCommandDoesNotUndoTheAnswerBeforeIt) {
-    Script s(1);
+TEST(ControllerTest, AnUnsentCommandDoesNotUndoTheAnswerBeforeIt) {
+    ControllerHarness s(1);
     const auto first = job(1);
     const auto second = job(2);
     auto [w, start, direct] = send_start_twice(s, first, second);
@@ -153,8 +153,8 @@
 
 // A cancellation that the leader does not know of: its next placement is refused by the state
 // service, and nothing of the job starts.
-TEST(Scripted, NothingStartsOnceTheEndIsOnRecord) {
-    Script s(1);
+TEST(ControllerTest, NothingStartsOnceTheEndIsOnRecord) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     auto first = job(1);
     auto second = job(2);
@@ -182,15 +182,15 @@
 
 // A silent machine that was given up, and not yet deleted, in an earlier term of the same process
 // may be well again: it is judged anew.
-TEST(Scripted, ANewTermJudgesMachinesAnew) {
-    Script s(1);
+TEST(ControllerTest, ANewTermJudgesMachinesAnew) {
+    ControllerHarness s(1);
     auto w = machine_for(s, job(1));
     const auto host = w.report.host;
     s.cloud().set_outage(true);
     s.run(Millis(40000));
     ASSERT_TRUE(s.logged("event=machine_return host=" + host.get()));
     ASSERT_FALSE(s.returned(host));
-    s.stand_still(Millis(9000));
+    s.stall_process(Millis(9000));
     s.run(Millis(3000));
     ASSERT_TRUE(s.leads());
     w.report.order.session = 2;
@@ -204,8 +204,8 @@
 }
 
 // Another node leads, and this one does not know it: nothing that it decides is recorded.
-TEST(Scripted, ADeposedLeaderRecordsNothing) {
-    Script s(1);
+TEST(ControllerTest, ADeposedLeaderRecordsNothing) {
+    ControllerHarness s(1);
     const auto first = job(1);
     auto w = machine_for(s, first);
     ASSERT_TRUE(s.leads());
@@ -224,8 +224,8 @@
 
 // A direct command without an answer may yet start the task: what a report of the token before
 // lacks is no proof.
-TEST(Scripted, ReportsOfAnOlderTokenProveNothing) {
-    Script s(1);
+TEST(ControllerTest, ReportsOfAnOlderTokenProveNothing) {
+    ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
     ASSERT_EQ(s.directs().size(), 1u);
@@ -244,8 +244,8 @@
 }
 
 // Reports arrive from a machine that no answer and no command reaches.
-TEST(Scripted, AnUnresponsiveMachineGetsNoWorkAndIsReturned) {
-    Script s(1);
+TEST(ControllerTest, AnUnresponsiveMachineGetsNoWorkAndIsReturned) {
+    ControllerHarness s(1);
     const auto early = job(1);
     const auto late = job(2);
     auto w = machine_for(s, early);
@@ -266,8 +266,8 @@
 
 // A start whose answer was lost is proved lost by the next report; a machine that then
 // acknowledges nothing must not keep the task.
-TEST(Scripted, WorkThatAnUnresponsiveMachineCannotHaveGoesElsewhere) {
-    Script s(2);
+TEST(ControllerTest, WorkThatAnUnresponsiveMachineCannotHaveGoesElsewhere) {
+    ControllerHarness s(2);
     s.run(Millis(3000));
     auto big = job(1, 2);
     big.cores = 10;  // one machine each
@@ -291,8 +291,8 @@
 }
 
 // Late copies of reports count neither for the lease, nor as a sign of life, nor as proof.
-TEST(Scripted, LateCopiesHaveNoEffect) {
-    Script s(1);
+TEST(ControllerTest, LateCopiesHaveNoEffect) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     const auto j = job(1);
     ASSERT_EQ(s.submit(j), 201);
@@ -336,8 +336,8 @@
 }
 
 // docs/incidents/0004: a new leader took idle machines that had not reported yet for stuck.
-TEST(Scripted, ANewLeaderWaitsForIdleMachinesToReport) {
-    Script s(1);
+TEST(ControllerTest, ANewLeaderWaitsForIdleMachinesToReport) {
+    ControllerHarness s(1);
     auto w = machine_for(s, job(1));
     w.report.tasks.push_back(running(s.directs().at(0).commands.orders.at(0)));
     s.answer(s.directs()[0], 200, w.next());
@@ -358,8 +358,8 @@
 
 // A worker forgets its tasks with its session; a copy of an earlier session does not bring them
 // back.
-TEST(Scripted, ALaterSessionProvesTheEarlierOnesTasksGone) {
-    Script s(1);
+TEST(ControllerTest, ALaterSessionProvesTheEarlierOnesTasksGone) {
+    ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
     const auto a = s.directs().at(0).commands.orders.at(0);
@@ -383,8 +383,8 @@
 }
 
 // Until the worker has shown the new leader's term, the one before could renew its lease.
-TEST(Scripted, ALeaseProvesNothingUntilTheTermWasShown) {
-    Script s(1);
+TEST(ControllerTest, ALeaseProvesNothingUntilTheTermWasShown) {
+    ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
     w.report.tasks.push_back(running(s.directs().at(0).commands.orders.at(0)));
@@ -403,8 +403,8 @@
 // Only direct commands get through, and they renew no lease. When the worker's ends, its new
 // session has a lease of its own: the end of the old one proves nothing about what the new one was
 // sent.
-TEST(Scripted, ANewSessionHasALeaseOfItsOwn) {
-    Script s(1);
+TEST(ControllerTest, ANewSessionHasALeaseOfItsOwn) {
+    ControllerHarness s(1);
     const auto first = job(1);
     const auto second = job(2);
     auto w = machine_for(s, first);
--- a/tests/chains_test.cpp
+++ b/tests/dependency_test.cpp
@@ -7,9 +7,9 @@
 
 #include "config/record_format.hpp"
 #include "kv/records.hpp"
-#include "sim/drawn.hpp"
-#include "sim/expect.hpp"
-#include "sim/script.hpp"
+#include "sim/controller_harness.hpp"
+#include "sim/expectations.hpp"
+#include "sim/random_scenarios.hpp"
 #include "state/dependency_graph.hpp"
 
 namespace dunebridge::sim {
@@ -22,7 +22,7 @@
 }
 
 // Accepted by another node: a job that fits no machine of this world, so that it stays open.
-JobId accepted_elsewhere(Script& s, int n) {
+JobId accepted_elsewhere(ControllerHarness& s, int n) {
     auto spec = job(n);
     spec.cores = 500;
     kv::JobRecord record;
@@ -32,8 +32,8 @@
     return spec.id;
 }
 
-TEST(Chains, WhatASubmissionMayName) {
-    Script s(1);
+TEST(Dependencies, WhatASubmissionMayName) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     const auto first = job(1);
     ASSERT_EQ(s.submit(first), 201);
@@ -54,10 +54,10 @@
 }
 
 // An older version that may yet lead would start its tasks at once.
-TEST(Chains, NothingIsAcceptedWhileAControllerMayBeOld) {
-    auto config = Script::config();
+TEST(Dependencies, NothingIsAcceptedWhileAControllerMayBeOld) {
+    auto config = ControllerHarness::config();
     config.known.push_back({NodeName("node-1"), "a", "node-1"});
-    Script s(1, config);
+    ControllerHarness s(1, config);
     s.run(Millis(3000));
     ASSERT_EQ(s.submit(job(1)), 201);
     s.run(Millis(3000));
@@ -70,8 +70,8 @@
     EXPECT_EQ(s.state().value(kv::job_key(job(2).id)), "");
 }
 
-TEST(Chains, ACancellationGoesDownTheWholeChain) {
-    Script s(1);
+TEST(Dependencies, ACancellationGoesDownTheWholeChain) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     ASSERT_EQ(s.submit(job(1)), 201);
     ASSERT_EQ(s.submit(job(2, {job(1).id})), 201);
@@ -89,8 +89,8 @@
 }
 
 // A poll never says `pending` once the same transaction can know better, whoever leads.
-TEST(Chains, APollKnowsOfACancellationBeforeTheLeaderDoes) {
-    Script s(1);
+TEST(Dependencies, APollKnowsOfACancellationBeforeTheLeaderDoes) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     ASSERT_EQ(s.submit(job(1)), 201);
     ASSERT_EQ(s.submit(job(2, {job(1).id})), 201);
@@ -105,7 +105,7 @@
 // ---- what a job asks of those before it ----
 
 // The graph alone, with jobs as the ledger holds them.
-class Graph : public testing::Test {
+class DependencyGraphTest : public testing::Test {
   protected:
     state::Job& add(int n, wire::Priority priority, std::vector<JobId> dependencies = {},
                     Instant latest_end = Instant::max()) {
@@ -120,7 +120,7 @@
     }
 
     sansio::Context context_{1, sansio::LogLevel::error};
-    kv::KvClient kv_client_{context_, Script::config()};
+    kv::KvClient kv_client_{context_, ControllerHarness::config()};
     std::map<JobId, state::Job> jobs_;
     std::vector<JobId> cancelled_;
     state::DependencyGraph graph_{
@@ -132,7 +132,7 @@
 
 // Also when the last one is submitted late; over both sides of a diamond, and only where it asks
 // for more.
-TEST_F(Graph, PriorityAndLatestEndReachBack) {
+TEST_F(DependencyGraphTest, PriorityAndLatestEndReachBack) {
     const Instant due = Instant{} + Millis(600000);
     auto& first = add(1, wire::Priority::idle);
     auto& left = add(2, wire::Priority::idle, {first.spec.id});
@@ -152,7 +152,7 @@
 }
 
 // Deadlines count from the submission; all else from when the last dependency was done.
-TEST_F(Graph, AJobIsReadyWhenTheLastOneBeforeItIsDone) {
+TEST_F(DependencyGraphTest, AJobIsReadyWhenTheLastOneBeforeItIsDone) {
     const Instant due = Instant{} + Millis(600000);
     auto& first = add(1, wire::Priority::idle);
     auto& second = add(2, wire::Priority::idle);
@@ -168,7 +168,7 @@
     EXPECT_TRUE(cancelled_.empty());
 }
 
-TEST_F(Graph, ACancellationReachesAllThatFollowOnceEach) {
+TEST_F(DependencyGraphTest, ACancellationReachesAllThatFollowOnceEach) {
     auto& first = add(1, wire::Priority::idle);
     auto& left = add(2, wire::Priority::idle, {first.spec.id});
     auto& right = add(3, wire::Priority::idle, {first.spec.id});
@@ -181,10 +181,10 @@
 }
 
 // Nothing is rented for it, and another job of its team may use the whole limit.
-TEST(Chains, AJobThatWaitsHoldsNothing) {
-    auto config = Script::config();
+TEST(Dependencies, AJobThatWaitsHoldsNothing) {
+    auto config = ControllerHarness::config();
     config.teams.push_back({"few", 0, 0, 2, 0});
-    Script s(1, config);
+    ControllerHarness s(1, config);
     s.run(Millis(3000));
     const auto never_over = accepted_elsewhere(s, 50);
     auto waiting = job(1, {never_over});
@@ -205,8 +205,8 @@
     EXPECT_TRUE(s.recorded_on(waiting.id).empty());
 }
 
-TEST(Chains, ACancellationAnsweredDoneLetsTheRestGoOn) {
-    Script s(1);
+TEST(Dependencies, ACancellationAnsweredDoneLetsTheRestGoOn) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     const auto first = job(1);
     const auto second = job(2, {first.id});
@@ -227,21 +227,21 @@
 
 // The limits that a deployment may announce: 64 preconditions, and values of 2 KiB.
 config::Config small_limits() {
-    auto config = Script::config();
+    auto config = ControllerHarness::config();
     config.state = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 80, 2, 16});
     return config;
 }
 
 // The sizes are enforced; the rates are not what is looked at here.
-void set_small_limits(Script& s) {
+void set_small_limits(ControllerHarness& s) {
     s.state().set_limits({5000, 5000, 16, std::size_t{2} * 1024, 1000});
 }
 
-void end_elsewhere(Script& s, const JobId& id, wire::JobPhase phase) {
+void end_elsewhere(ControllerHarness& s, const JobId& id, wire::JobPhase phase) {
     s.write(kv::terminal_key(id), encode(kv::TerminalRecord{phase, 1, 1700000000000}).packed);
 }
 
-std::vector<JobId> accepted_elsewhere(Script& s, int first, int count) {
+std::vector<JobId> accepted_elsewhere(ControllerHarness& s, int first, int count) {
     std::vector<JobId> ids;
     for (int n = first; n < first + count; ++n) ids.push_back(accepted_elsewhere(s, n));
     return ids;
@@ -250,8 +250,8 @@
 // Once the leader has had its turn to learn what others wrote.
 constexpr Millis kSettled{3000};
 
-TEST(ManyBefore, AJobWaitsOnAllOfThem) {
-    Script s(1, small_limits());
+TEST(ManyAncestors, AJobWaitsOnAllOfThem) {
+    ControllerHarness s(1, small_limits());
     set_small_limits(s);
     s.run(kSettled);
     const auto many = accepted_elsewhere(s, 100, 300);
@@ -278,8 +278,8 @@
     EXPECT_EQ(s.state().violations(), 0u);
 }
 
-TEST(ManyBefore, ANewLeaderKnowsThem) {
-    Script s(1, small_limits());
+TEST(ManyAncestors, ANewLeaderKnowsThem) {
+    ControllerHarness s(1, small_limits());
     set_small_limits(s);
     s.run(kSettled);
     const auto many = accepted_elsewhere(s, 100, 150);
@@ -301,8 +301,8 @@
 }
 
 // Even while the leader hears of nothing: a poll finds out by itself, in time.
-TEST(ManyBefore, APollKnowsOfACancellationWithinItsTime) {
-    Script s(1, small_limits());
+TEST(ManyAncestors, APollKnowsOfACancellationWithinItsTime) {
+    ControllerHarness s(1, small_limits());
     set_small_limits(s);
     s.run(kSettled);
     const auto many = accepted_elsewhere(s, 100, 200);
@@ -310,13 +310,13 @@
     EXPECT_EQ(s.phase(job(1).id), "pending");
     s.state().set_watches_stalled(true);
     end_elsewhere(s, many[77], wire::JobPhase::cancelled);
-    s.run(Script::config().cancel / 4);
+    s.run(ControllerHarness::config().cancel / 4);
     EXPECT_EQ(s.phase(job(1).id), "withdrawn");
 }
 
 // A chain submitted one after the other, longer than any record or transaction can tell of.
-TEST(ManyBefore, ALongChainIsCancelledWhole) {
-    Script s(1, small_limits());
+TEST(ManyAncestors, ALongChainIsCancelledWhole) {
+    ControllerHarness s(1, small_limits());
     set_small_limits(s);
     s.run(kSettled);
     constexpr int length = 200;
@@ -326,14 +326,14 @@
         s.run(Millis(200));
     }
     ASSERT_EQ(s.ask("POST", "/v1/jobs/" + job(1).id.get() + "/abort", {}).status, 200);
-    s.run(Script::config().cancel / 2);
+    s.run(ControllerHarness::config().cancel / 2);
     for (int n = 2; n <= length; ++n) EXPECT_EQ(s.phase(job(n).id), "withdrawn") << n;
     EXPECT_EQ(s.state().violations(), 0u);
 }
 
 // As many as a request can name. Most are over; what is open still fits one transaction.
-TEST(ManyBefore, ARequestOfTheLargestSizeIsAccepted) {
-    Script s(1, small_limits());
+TEST(ManyAncestors, ARequestOfTheLargestSizeIsAccepted) {
+    ControllerHarness s(1, small_limits());
     set_small_limits(s);
     s.run(kSettled);
     std::vector<JobId> many;
@@ -359,10 +359,10 @@
 
 // A controller of the version before would not find the parts: until all are newer, the user is
 // told to come back.
-TEST(ManyBefore, IsNotAcceptedBeforeItsFormatIsInForce) {
+TEST(ManyAncestors, IsNotAcceptedBeforeItsFormatIsInForce) {
     auto config = small_limits();
     config.format = config::kRangeFormat;
-    Script s(1, config);
+    ControllerHarness s(1, config);
     set_small_limits(s);
     s.run(kSettled);
     const auto many = accepted_elsewhere(s, 100, 100);
@@ -373,10 +373,10 @@
 }
 
 // An older version that has read the mark does not lead.
-TEST(ManyBefore, TheVersionBeforeStopsAtTheMark) {
-    auto config = Script::config();
+TEST(ManyAncestors, TheVersionBeforeStopsAtTheMark) {
+    auto config = ControllerHarness::config();
     config.format = config::kRangeFormat;
-    Script s(1, config);
+    ControllerHarness s(1, config);
     s.write(kv::kFormatMark,
             wire::Writer().map(1).text("v").count(config::kSplitDependencyFormat).take());
     s.run(Millis(8000));
@@ -412,29 +412,29 @@
 }
 
 // Whole days in which most chains are too long for one transaction, as it has few preconditions.
-class ManyBeforeDays : public testing::TestWithParam<std::uint64_t> {};
+class ManyAncestorsScenarios : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(ManyBeforeDays, RulesHoldAndJobsEnd) {
-    auto options = drawn_options(GetParam());
+TEST_P(ManyAncestorsScenarios, RulesHoldAndJobsEnd) {
+    auto options = random_scenario_options(GetParam());
     options.pipelines = 8;
     options.fan_in = 24;
     options.limits = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 80, 2, 5});
-    World world(options);
-    run_drawn(world, GetParam());
-    expect_over(world);
+    SimulatedCluster world(options);
+    run_random_scenario(world, GetParam());
+    expect_completed(world);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, ManyBeforeDays, testing::Range<std::uint64_t>(9000, 9012));
+INSTANTIATE_TEST_SUITE_P(Seeds, ManyAncestorsScenarios, testing::Range<std::uint64_t>(9000, 9012));
 
-class Chained : public testing::TestWithParam<std::uint64_t> {};
+class DependencyScenarios : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Chained, RulesHoldAndJobsEnd) {
-    auto options = drawn_options(GetParam());
+TEST_P(DependencyScenarios, RulesHoldAndJobsEnd) {
+    auto options = random_scenario_options(GetParam());
     options.pipelines = 12;
-    World world(options);
-    run_drawn(world, GetParam());
-    expect_over(world);
+    SimulatedCluster world(options);
+    run_random_scenario(world, GetParam());
+    expect_completed(world);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, Chained, testing::Range<std::uint64_t>(8000, 8016));
+INSTANTIATE_TEST_SUITE_P(Seeds, DependencyScenarios, testing::Range<std::uint64_t>(8000, 8016));
 
 }  // namespace
 }  // namespace dunebridge::sim
--- a/tests/digest.cpp
+++ b/tests/digest.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "sim/drawn.hpp"
+#include "sim/random_scenarios.hpp"
 
 int main(int argc, char** argv) {
     using namespace dunebridge;
@@ -17,13 +17,14 @@
     const auto from = std::strtoull(argv[1], nullptr, 10);
     const auto count = std::strtoull(argv[2], nullptr, 10);
     for (auto seed = from; seed < from + count; ++seed) {
-        auto options = drawn_options(seed);
+        auto options = random_scenario_options(seed);
         if (seed % 4 == 2) options.old_format = config::kChunkFormat;
         if (seed % 8 == 3) options.old_format = config::kRangeFormat;
-        World world(options);
-        run_drawn(world, seed);
+        SimulatedCluster world(options);
+        run_random_scenario(world, seed);
         std::cout << seed << " " << std::hex << world.digest() << std::dec << " "
-                  << world.broken_rules().size() << " " << world.jobs_left() << std::endl;
+                  << world.violated_invariants().size() << " " << world.unfinished_jobs()
+                  << std::endl;
     }
     return 0;
 }
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -3,13 +3,13 @@
 
 #include <gtest/gtest.h>
 
-#include "sim/ledger_fixture.hpp"
+#include "sim/cluster_state_fixture.hpp"
 
 namespace dunebridge::workers {
 namespace {
 
-struct Attribution : testing::Test {
-    sim::LedgerFixture world;
+struct FailureAttributionTest : testing::Test {
+    sim::ClusterStateFixture world;
     FailureAttribution attribution{world.port, world.ledger};
 
     // The job fails on so many machines, each of which is new.
@@ -19,7 +19,7 @@
     int machines = 100;
 };
 
-TEST_F(Attribution, AJobThatFailsOnSeveralMachinesIsAtFault) {
+TEST_F(FailureAttributionTest, AJobThatFailsOnSeveralMachinesIsAtFault) {
     auto& job = world.add_job(1, 50);
     fail_on_new_machines(job, 2);
     EXPECT_FALSE(job.failures.faulty);
@@ -33,7 +33,7 @@
     }
 }
 
-TEST_F(Attribution, AFaultyJobHasAFewTasksAtATime) {
+TEST_F(FailureAttributionTest, AFaultyJobHasAFewTasksAtATime) {
     auto& job = world.add_job(1, 50);
     fail_on_new_machines(job, 3);
     auto& machine = world.add_machine(1);
@@ -43,7 +43,7 @@
     EXPECT_EQ(job.placeable(), 0u);
 }
 
-TEST_F(Attribution, AJobThatSucceedsAgainRunsAtFullWidthAtOnce) {
+TEST_F(FailureAttributionTest, AJobThatSucceedsAgainRunsAtFullWidthAtOnce) {
     auto& job = world.add_job(1, 50);
     fail_on_new_machines(job, 4);
     ASSERT_TRUE(job.failures.faulty);
@@ -53,7 +53,7 @@
     EXPECT_LE(job.backoff_until, world.now);
 }
 
-TEST_F(Attribution, AMachineOnWhichSeveralJobsFailIsAtFault) {
+TEST_F(FailureAttributionTest, AMachineOnWhichSeveralJobsFailIsAtFault) {
     auto& machine = world.add_machine(1);
     for (int n = 1; n <= 3; ++n) {
         EXPECT_FALSE(machine.cordoned);
@@ -63,7 +63,7 @@
 }
 
 // One job alone shows a faulty machine, if the job succeeds on others.
-TEST_F(Attribution, AJobThatSucceedsElsewhereWeighsMore) {
+TEST_F(FailureAttributionTest, AJobThatSucceedsElsewhereWeighsMore) {
     auto& job = world.add_job(1, 50);
     auto& machine = world.add_machine(1);
     world.ledger.mark_done(job, 0);
@@ -75,7 +75,7 @@
 }
 
 // Each alone would have drained the machines on which two faulty jobs happen to begin.
-TEST_F(Attribution, TwoFaultyJobsDoNotCondemnHealthyMachines) {
+TEST_F(FailureAttributionTest, TwoFaultyJobsDoNotCondemnHealthyMachines) {
     auto& first = world.add_job(1, 20);
     auto& second = world.add_job(2, 20);
     for (int n = 1; n <= 9; ++n) {
@@ -88,7 +88,7 @@
     for (const auto& [host, machine] : world.ledger.machines()) EXPECT_FALSE(machine.cordoned);
 }
 
-TEST_F(Attribution, AFaultyMachineIsFoundWhileFaultyJobsAreAbout) {
+TEST_F(FailureAttributionTest, AFaultyMachineIsFoundWhileFaultyJobsAreAbout) {
     auto& faulty_job = world.add_job(1, 20);
     auto& machine = world.add_machine(1);
     attribution.failed(faulty_job, machine);
@@ -104,7 +104,7 @@
 }
 
 // Three machines that fail everything do not make a job that runs there look faulty.
-TEST_F(Attribution, MachinesThatFailOtherJobsTooSayNothingAboutOne) {
+TEST_F(FailureAttributionTest, MachinesThatFailOtherJobsTooSayNothingAboutOne) {
     auto& job = world.add_job(1, 20);
     for (int n = 1; n <= 3; ++n) {
         auto& machine = world.add_machine(n);
@@ -114,7 +114,7 @@
     EXPECT_FALSE(job.failures.faulty);
 }
 
-TEST_F(Attribution, AMachineIsClearedWhenTheEvidenceAgainstItIsAJobsFault) {
+TEST_F(FailureAttributionTest, AMachineIsClearedWhenTheEvidenceAgainstItIsAJobsFault) {
     auto& machine = world.add_machine(1);
     auto& job = world.add_job(1, 20);
     attribution.failed(job, machine);
@@ -126,7 +126,7 @@
     EXPECT_FALSE(machine.cordoned);
 }
 
-TEST_F(Attribution, SuccessClearsTheMachine) {
+TEST_F(FailureAttributionTest, SuccessClearsTheMachine) {
     auto& machine = world.add_machine(1);
     attribution.failed(world.add_job(1), machine);
     attribution.failed(world.add_job(2), machine);
@@ -136,7 +136,7 @@
 }
 
 // The tasks that fail together count once, and the job is still tried within 90 s.
-TEST_F(Attribution, PausesGrowToALimitAndOneWaveOfFailuresCountsOnce) {
+TEST_F(FailureAttributionTest, PausesGrowToALimitAndOneWaveOfFailuresCountsOnce) {
     auto& job = world.add_job(1, 50);
     for (int n = 0; n < 20; ++n) attribution.pause(job);
     EXPECT_LT(job.backoff_until - world.now, Millis(1300));
--- a/tests/fleet.cpp
+++ b/tests/fleet.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "sim/fleet_day.hpp"
+#include "sim/large_fleet_scenario.hpp"
 
 int main(int argc, char** argv) {
     using namespace dunebridge::sim;
@@ -13,7 +13,7 @@
         std::cerr << "fleet MACHINES\n";
         return 2;
     }
-    World world(fleet_options(std::strtoull(argv[1], nullptr, 10)));
+    SimulatedCluster world(fleet_options(std::strtoull(argv[1], nullptr, 10)));
     const auto day = run_fleet_day(world);
     const auto& load = world.load();
     rusage usage{};
@@ -26,6 +26,6 @@
         load.processor_s, load.longest_step_s * 1000, load.steps,
         static_cast<double>(load.bytes) / (1024 * 1024), world.state().changes(),
         world.state().most_changes_in_a_second(), usage.ru_maxrss / 1024);
-    std::cout << world.describe_broken() << world.describe_left();
-    return world.broken_rules().empty() && world.jobs_left() == 0 ? 0 : 1;
+    std::cout << world.describe_violations() << world.describe_unfinished();
+    return world.violated_invariants().empty() && world.unfinished_jobs() == 0 ? 0 : 1;
 }
--- a/tests/decisions_test.cpp
+++ b/tests/placement_and_scaling_test.cpp
@@ -47,7 +47,7 @@
     EXPECT_EQ(scheduler::best_fit(rooms, {2, 0, 1}, any, none), TaskCommand{});
 }
 
-TEST(PromisedFit, TheEarliestFinishRanksFirst) {
+TEST(FutureFit, TheEarliestFinishRanksFirst) {
     std::vector<scheduler::FreeCapacity> rooms{room(8, 0), room(8, 0)};
     for (auto& r : rooms) r.later = {4, 0, 16};
     const auto earliest = [](std::size_t i) { return i == 0 ? 9.0 : 3.0; };
@@ -147,7 +147,7 @@
 }
 
 // Two nodes that hear each other's log, one a little later, must not keep an end in it for ever.
-TEST(CancellationLog, DoNotGoRoundBetweenNodes) {
+TEST(CancellationLogTest, DoNotGoRoundBetweenNodes) {
     config::Config config;
     config.cancel = Millis(20000);
     sansio::Context ports[2]{{1, sansio::LogLevel::info}, {2, sansio::LogLevel::info}};
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -18,7 +18,7 @@
 namespace http = boost::beast::http;
 using tcp = boost::asio::ip::tcp;
 
-class Files : public testing::Test {
+class FilesTest : public testing::Test {
   protected:
     std::string write(const std::string& name, const std::string& text) {
         const auto path = testing::TempDir() + "dunebridge-" + std::to_string(::getpid()) + name;
@@ -56,7 +56,7 @@
     }
 }
 
-TEST_F(Files, SettingsAreReadAndUnknownFieldsIgnored) {
+TEST_F(FilesTest, SettingsAreReadAndUnknownFieldsIgnored) {
     const auto config = load_settings(write("good.toml", settings()), {});
     EXPECT_EQ(config.name.get(), "n0");
     EXPECT_EQ(config.lease, Millis(30000));
@@ -64,7 +64,7 @@
     EXPECT_DOUBLE_EQ(config.teams[0].cpus_max, 16);
 }
 
-TEST_F(Files, LimitsOfTheStateServiceToCome) {
+TEST_F(FilesTest, LimitsOfTheStateServiceToCome) {
     const auto today = load_settings(write("today.toml", settings()), {}).state;
     EXPECT_EQ(today.value_bytes(), 16u * 1024);
     EXPECT_EQ(today.max_preconditions(), 192u);
@@ -80,7 +80,7 @@
     EXPECT_NE(complaint(bad).find("cluster.state.next.value_kb"), std::string::npos);
 }
 
-TEST_F(Files, ComplaintsNameFileAndField) {
+TEST_F(FilesTest, ComplaintsNameFileAndField) {
     const auto bad = write("bad.toml", settings("lease_s = \"long\""));
     EXPECT_NE(complaint(bad).find(bad + ": cluster.workers.lease_s"), std::string::npos);
     const auto missing = write("missing.toml", settings(""));
@@ -88,7 +88,7 @@
     EXPECT_NE(complaint(write("broken.toml", "label = ")).find("line 1"), std::string::npos);
 }
 
-TEST_F(Files, OperatorsSettings) {
+TEST_F(FilesTest, OperatorsSettings) {
     const auto toml = write("o.toml", settings());
     const auto good = write("o.xml", "<dunebridge><fleet headroom=\"1.5\"/></dunebridge>");
     EXPECT_DOUBLE_EQ(load_settings(toml, good).tuning.headroom, 1.5);
@@ -118,7 +118,7 @@
     return static_cast<int>(response.result_int());
 }
 
-TEST_F(Files, RequestsOnLoopback) {
+TEST_F(FilesTest, RequestsOnLoopback) {
     const auto config = load_settings(write("run.toml", settings("lease_s = 30", 18180)), {});
     // Ends with the test's process: a controller runs until it is killed.
     std::thread([config] { Runtime(config, sansio::LogLevel::error, 1).run(); }).detach();
@@ -144,7 +144,7 @@
 // ---- sockets ----
 
 // Runs an io_context with a server in it that answers everything with 200 at once.
-class Sockets : public testing::Test {
+class SocketsTest : public testing::Test {
   protected:
     net::HttpServer& serve(std::size_t connections) {
         const auto n = servers_.size();
@@ -193,7 +193,7 @@
 
 // Every place is taken by idle check-in connections, then by ones that never ask: a user still
 // gets an answer each time, and those with the most places lose one.
-TEST_F(Sockets, NoGroupShutsOutAnother) {
+TEST_F(SocketsTest, NoGroupShutsOutAnother) {
     const auto port = serve(10).port();
     run();
     std::vector<std::unique_ptr<Connection>> workers;
@@ -212,7 +212,7 @@
     EXPECT_EQ(workers[1]->ask("/checkin"), 200);
 }
 
-TEST_F(Sockets, TheClientKeepsToItsCapOverAllAddresses) {
+TEST_F(SocketsTest, TheClientKeepsToItsCapOverAllAddresses) {
     std::vector<std::string> addresses;
     for (int i = 0; i < 4; ++i) {
         addresses.push_back("127.0.0.1:" + std::to_string(serve(10).port()));
@@ -247,7 +247,7 @@
 
 // The process stands still for longer than the call may take; the answer, too long to be read at
 // once, came before that time was over. It is read, not given up.
-TEST_F(Sockets, AnAnswerThatCameDuringAStandStillIsRead) {
+TEST_F(SocketsTest, AnAnswerThatCameDuringAStandStillIsRead) {
     constexpr std::size_t bytes = std::size_t{4} * 1024 * 1024;
     boost::asio::steady_timer delay(io_);
     std::unique_ptr<net::HttpServer> server;
@@ -318,7 +318,7 @@
            quota + "\n";
 }
 
-TEST_F(Files, OddButValidSettingsStart) {
+TEST_F(FilesTest, OddButValidSettingsStart) {
     const std::string tiny = "cpu = 0.01\nmemory_mb = 16\nfd_limit = 32";
     const std::string huge = "cpu = 64\nmemory_mb = 1000000\nfd_limit = 1000000\nmore = true";
     int n = 0;
--- a/tests/scripted_service_test.cpp
+++ b/tests/service_interface_test.cpp
@@ -1,15 +1,15 @@
 // One controller against scripted workers: what waits, what machines are kept for, and records.
 #include <gtest/gtest.h>
 
-#include "sim/script.hpp"
+#include "sim/controller_harness.hpp"
 
 namespace dunebridge::sim {
 namespace {
 
 using Hosts = std::vector<std::string>;
 
-TEST(Scripted, AJobOfAHundredThousandTasksIsAcceptedAndStaysKnown) {
-    Script s(1);
+TEST(ControllerTest, AJobOfAHundredThousandTasksIsAcceptedAndStaysKnown) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     auto j = job(1, 100000);
     j.cores = j.ram_gb = 0.005;  // some thousands at once, in many records
@@ -30,10 +30,10 @@
 
 // docs/incidents/0009: a machine kept for an aged job, whose team is at its limit by then, is open
 // to others.
-TEST(Scripted, NothingIsKeptForAJobWhoseTeamIsAtItsLimit) {
-    auto config = Script::config();
+TEST(ControllerTest, NothingIsKeptForAJobWhoseTeamIsAtItsLimit) {
+    auto config = ControllerHarness::config();
     config.teams.push_back({"few", 0, 0, 4, 0});
-    Script s(2, config);
+    ControllerHarness s(2, config);
     s.run(Millis(3000));
     auto full = job(1);
     full.cores = 16;
@@ -67,11 +67,11 @@
 
 // A machine that says nothing may run a cancelled job's tasks for as long as its lease is: where
 // that is longer than `cancel_s`, only its deletion ends them in time.
-TEST(Scripted, ASilentMachineWithCancelledTasksIsDeletedInTime) {
-    auto config = Script::config();
+TEST(ControllerTest, ASilentMachineWithCancelledTasksIsDeletedInTime) {
+    auto config = ControllerHarness::config();
     config.cancel = Millis(20000);
     config.lease = Millis(100000);
-    Script s(1, config);
+    ControllerHarness s(1, config);
     s.run(Millis(3000));
     const auto cancelled = job(1);
     ASSERT_EQ(s.submit(cancelled), 201);
@@ -84,8 +84,8 @@
 }
 
 // A machine is not kept for so long that others which would fit wait for 90 s.
-TEST(Scripted, AMachineIsKeptForALimitedTime) {
-    Script s(1);
+TEST(ControllerTest, AMachineIsKeptForALimitedTime) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     auto large = job(1);
     large.cores = 14;
@@ -109,8 +109,8 @@
 }
 
 // A record that this version cannot read must not be passed over: the job in it would be lost.
-TEST(Scripted, ARecordOfAnUnknownVersionStopsTheLoad) {
-    Script s(1);
+TEST(ControllerTest, ARecordOfAnUnknownVersionStopsTheLoad) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     const auto j = job(1);
     ASSERT_EQ(s.submit(j), 201);
@@ -129,8 +129,8 @@
 // A report that came after a thousand polls in the same moment is answered before them: users who
 // ask in masses cost no worker its lease, and those that cannot be taken are told when to come
 // back.
-TEST(Scripted, ReportsAreTakenBeforeMassesOfPolls) {
-    controller::Controller core(Script::config(), 1, sansio::LogLevel::error);
+TEST(ControllerTest, ReportsAreTakenBeforeMassesOfPolls) {
+    controller::Controller core(ControllerHarness::config(), 1, sansio::LogLevel::error);
     std::vector<controller::Command> batch;
     constexpr std::uint64_t polls = 1000;
     for (std::uint64_t i = 1; i <= polls; ++i) {
@@ -142,7 +142,7 @@
                                             false});
     }
     batch.push_back(controller::Request{RequestId(polls + 1), controller::Listener::front, "POST",
-                                        "/checkin", ScriptedWorker().next(), false});
+                                        "/checkin", HarnessWorker().next(), false});
     const auto effects = core.apply(std::move(batch), Instant(Millis(5000)), 1700000000000);
     ASSERT_FALSE(effects.answers.empty());
     EXPECT_EQ(effects.answers.front().id, RequestId(polls + 1));
@@ -159,12 +159,12 @@
 
 // A service over its rate refuses some of the reads with which a term begins. Each refusal once
 // began a new term, and with it the whole load, which asked for as much again: 76 terms on one day.
-TEST(Scripted, ALoadGoesOnAfterReadsWereRefused) {
-    Script s(1);
+TEST(ControllerTest, ALoadGoesOnAfterReadsWereRefused) {
+    ControllerHarness s(1);
     s.run(Millis(3000));
     for (int n = 1; n <= 120; ++n) ASSERT_EQ(s.submit(job(n)), 201);  // several pages
     s.restart();
-    StateStandIn::Limits limits;
+    FakeKvStore::Limits limits;
     limits.rps = 6;
     s.state().set_limits(limits);
     const auto refused = s.state().refusals();
--- a/tests/sim/ledger_fixture.hpp
+++ b/tests/sim/cluster_state_fixture.hpp
@@ -8,12 +8,12 @@
 #include "coordination/election.hpp"
 #include "kv/client.hpp"
 #include "sansio/context.hpp"
-#include "sim/script.hpp"
+#include "sim/controller_harness.hpp"
 #include "state/cluster_state.hpp"
 
 namespace dunebridge::sim {
 
-struct LedgerFixture {
+struct ClusterStateFixture {
     config::Config config;
     sansio::Context port{1, sansio::LogLevel::info};
     kv::KvClient store{port, config};
@@ -21,7 +21,7 @@
     state::ClusterState ledger{port, store, election};
     Instant now{Millis(1000000)};
 
-    LedgerFixture() { pass(Millis(0)); }
+    ClusterStateFixture() { pass(Millis(0)); }
     void pass(Millis span) {
         now += span;
         port.advance_clock(now, 0);
--- a/tests/sim/script.cpp
+++ b/tests/sim/controller_harness.cpp
@@ -1,4 +1,4 @@
-#include "sim/script.hpp"
+#include "sim/controller_harness.hpp"
 
 #include <algorithm>
 
@@ -35,27 +35,27 @@
     return t;
 }
 
-void show_token(Script& s, ScriptedWorker& w) {
+void show_token(ControllerHarness& s, HarnessWorker& w) {
     w.report.token = s.checkin(w.next()).second.token;
     s.run(Millis(500));
     s.checkin(w.next());
     s.run(Millis(300));
 }
 
-ScriptedWorker ready_machine(Script& s, std::size_t n) {
+HarnessWorker ready_machine(ControllerHarness& s, std::size_t n) {
     auto worker = s.machine(n);
     show_token(s, worker);
     return worker;
 }
 
-static void obey(ScriptedWorker& w, const std::vector<wire::TaskCommand>& orders) {
+static void obey(HarnessWorker& w, const std::vector<wire::TaskCommand>& orders) {
     for (const auto& o : orders) {
         std::erase_if(w.report.tasks, [&](const auto& t) { return t.task == o.task; });
         if (o.verb == wire::CommandKind::start) w.report.tasks.push_back(running(o));
     }
 }
 
-void play(Script& s, const std::vector<ScriptedWorker*>& workers, int seconds) {
+void play(ControllerHarness& s, const std::vector<HarnessWorker*>& workers, int seconds) {
     for (int i = 0; i < seconds; ++i) {
         for (auto* w : workers) {
             while (true) {
@@ -78,7 +78,7 @@
     }
 }
 
-void end_task(ScriptedWorker& w, const JobId& id) {
+void end_task(HarnessWorker& w, const JobId& id) {
     for (auto& t : w.report.tasks) {
         if (t.task.job != id) continue;
         t.phase = wire::TaskPhase::exited;
@@ -86,12 +86,12 @@
     }
 }
 
-std::string ScriptedWorker::next() {
+std::string HarnessWorker::next() {
     ++report.order.sequence;
     return wire::encode(report);
 }
 
-const config::Config& Script::config() {
+const config::Config& ControllerHarness::config() {
     static const config::Config config = [] {
         config::Config c;
         c.name = NodeName("node-0");
@@ -107,7 +107,7 @@
     return config;
 }
 
-Script::Script(std::size_t most_machines, const config::Config& config)
+ControllerHarness::ControllerHarness(std::size_t most_machines, const config::Config& config)
     : config_(config),
       state_(clock_),
       cloud_(clock_, {{"big", 16, 0, 64, 50, 1, 0.9, 0.3, 5, {"a"}}}, most_machines, Millis(4000),
@@ -117,7 +117,7 @@
     restart();
 }
 
-void Script::restart() {
+void ControllerHarness::restart() {
     ++incarnation_;
     queue_.clear();
     commands_in_flight_.clear();
@@ -125,7 +125,7 @@
         std::make_unique<controller::Controller>(config_, incarnation_, sansio::LogLevel::debug);
 }
 
-void Script::run(Millis span) {
+void ControllerHarness::run(Millis span) {
     const auto end = clock_.now() + span;
     while (clock_.now() < end) {
         const auto turn = std::min(end, clock_.now() + kTurn);
@@ -135,13 +135,13 @@
     }
 }
 
-void Script::stand_still(Millis span) {
+void ControllerHarness::stall_process(Millis span) {
     const auto end = clock_.now() + span;
     while (clock_.step(end)) {
     }
 }
 
-void Script::step() {
+void ControllerHarness::step() {
     std::vector<controller::Command> batch;
     batch.swap(queue_);
     auto effects = core_->apply(std::move(batch), clock_.now(),
@@ -151,7 +151,7 @@
     for (auto& c : effects.calls) call(std::move(c));
 }
 
-void Script::call(sansio::HttpCall c) {
+void ControllerHarness::call(sansio::HttpCall c) {
     const auto done = [this, id = c.id, incarnation = incarnation_](const HttpResult& reply) {
         if (incarnation == incarnation_) queue_.push_back(controller::CallCompleted{id, reply});
     };
@@ -179,8 +179,8 @@
     }
 }
 
-sansio::HttpResponse Script::ask(const std::string& method, const std::string& target,
-                                 const std::string& body) {
+sansio::HttpResponse ControllerHarness::ask(const std::string& method, const std::string& target,
+                                            const std::string& body) {
     const RequestId id(++next_request_);
     queue_.push_back(
         controller::Request{id, controller::Listener::front, method, target, body, false});
@@ -188,35 +188,35 @@
     return answers_.contains(id) ? answers_.at(id) : sansio::HttpResponse{id, 0, {}, 0};
 }
 
-int Script::submit(const wire::JobSpec& job) {
+int ControllerHarness::submit(const wire::JobSpec& job) {
     wire::Writer w;
     wire::encode_job(w, job);
     return ask("POST", "/v1/jobs", w.take()).status;
 }
 
-std::string Script::phase(const JobId& id) {
+std::string ControllerHarness::phase(const JobId& id) {
     const auto answer = ask("GET", "/v1/jobs/" + id.get(), {});
     const auto doc = wire::Document::parse(answer.body);
     if (answer.status != 200 || !doc) return {};
     return doc->root()["phase"].need_text("phase");
 }
 
-std::pair<int, wire::CommandBatch> Script::checkin(const std::string& report) {
+std::pair<int, wire::CommandBatch> ControllerHarness::checkin(const std::string& report) {
     const auto a = ask("POST", "/checkin", report);
     const auto doc = wire::Document::parse(a.body);
     return {a.status,
             a.status == 200 && doc ? wire::decode_commands(doc->root()) : wire::CommandBatch()};
 }
 
-void Script::answer(const Direct& direct, int status, const std::string& report) {
+void ControllerHarness::answer(const Direct& direct, int status, const std::string& report) {
     const auto id = direct.id;
     std::erase_if(commands_in_flight_, [&](const Direct& d) { return d.id == id; });
     queue_.push_back(controller::CallCompleted{id, {status, report}});
 }
 
-ScriptedWorker Script::machine(std::size_t n) {
+HarnessWorker ControllerHarness::machine(std::size_t n) {
     for (int i = 0; i < 600 && up_.size() <= n; ++i) run(Millis(100));
-    ScriptedWorker p;
+    HarnessWorker p;
     if (up_.size() <= n) return p;
     const auto& row = up_[n];
     p.report.host = row.host;
@@ -228,18 +228,18 @@
     return p;
 }
 
-void Script::write(const std::string& key, const std::string& value) {
+void ControllerHarness::write(const std::string& key, const std::string& value) {
     state_.handle("POST", "/multi", wire::encode_transaction({}, {{key, value, std::nullopt}}),
                   [](const HttpResult&) {});
 }
 
-std::size_t Script::logged_times(const std::string& what) const {
+std::size_t ControllerHarness::logged_times(const std::string& what) const {
     return static_cast<std::size_t>(
         std::count_if(logs_.begin(), logs_.end(),
                       [&](const auto& line) { return line.find(what) != std::string::npos; }));
 }
 
-std::vector<std::string> Script::recorded_on(const JobId& id) const {
+std::vector<std::string> ControllerHarness::recorded_on(const JobId& id) const {
     std::vector<std::string> out;
     for (const auto& [key, value] : state_.values("prog/" + id.get() + "/")) {
         const auto doc = wire::Document::parse(value);
--- a/tests/sim/script.hpp
+++ b/tests/sim/controller_harness.hpp
@@ -12,8 +12,8 @@
 #include "controller/controller.hpp"
 #include "kv/keys.hpp"
 #include "sim/clock.hpp"
-#include "sim/cloud_stand_in.hpp"
-#include "sim/state_stand_in.hpp"
+#include "sim/fake_cloud.hpp"
+#include "sim/fake_kv_store.hpp"
 
 namespace dunebridge::sim {
 
@@ -21,18 +21,19 @@
 wire::JobSpec job(int n, std::uint32_t task_count = 1);
 
 // A worker as the test plays it: what its next report says.
-struct ScriptedWorker {
+struct HarnessWorker {
     wire::WorkerHeartbeat report;
     std::string next();  // its next report, packed
 };
 
-class Script {
+class ControllerHarness {
   public:
-    explicit Script(std::size_t most_machines, const config::Config& config = Script::config());
+    explicit ControllerHarness(std::size_t most_machines,
+                               const config::Config& config = ControllerHarness::config());
 
     void run(Millis span);
     // The controller stands still while the clock and the others go on.
-    void stand_still(Millis span);
+    void stall_process(Millis span);
     // A new incarnation of the controller, with nothing but what is on record.
     void restart();
 
@@ -53,7 +54,7 @@
     void answer(const Direct& direct, int status, const std::string& report);
 
     // Waits for the n-th machine to boot.
-    ScriptedWorker machine(std::size_t n);
+    HarnessWorker machine(std::size_t n);
     bool returned(const HostName& host) const { return returned_.contains(host); }
     bool logged(const std::string& what) const { return logged_times(what) > 0; }
     std::size_t logged_times(const std::string& what) const;
@@ -62,8 +63,8 @@
     bool leads() const { return core_->leads(); }
     // While set, the controller's transactions that write get lost: nobody answers them.
     void set_writes_lost(bool lost) { writes_lost_ = lost; }
-    StateStandIn& state() { return state_; }
-    CloudStandIn& cloud() { return cloud_; }
+    FakeKvStore& state() { return state_; }
+    FakeCloud& cloud() { return cloud_; }
     // Another node writes the key.
     void write(const std::string& key, const std::string& value);
 
@@ -75,8 +76,8 @@
 
     const config::Config config_;
     Clock clock_;
-    StateStandIn state_;
-    CloudStandIn cloud_;
+    FakeKvStore state_;
+    FakeCloud cloud_;
     std::unique_ptr<controller::Controller> core_;
     std::uint64_t incarnation_ = 0;
     std::uint64_t next_request_ = 0;
@@ -91,11 +92,11 @@
 
 wire::TaskStatus running(const wire::TaskCommand& order);
 // The worker's first reports, after which it has seen the leader's token.
-void show_token(Script& s, ScriptedWorker& w);
+void show_token(ControllerHarness& s, HarnessWorker& w);
 // Waits for the n-th machine to boot and to have seen the leader's token.
-ScriptedWorker ready_machine(Script& s, std::size_t n);
+HarnessWorker ready_machine(ControllerHarness& s, std::size_t n);
 // The workers obey, and report every second; tasks run until the test ends them.
-void play(Script& s, const std::vector<ScriptedWorker*>& workers, int seconds);
-void end_task(ScriptedWorker& w, const JobId& id);
+void play(ControllerHarness& s, const std::vector<HarnessWorker*>& workers, int seconds);
+void end_task(HarnessWorker& w, const JobId& id);
 
 }  // namespace dunebridge::sim
--- a/tests/sim/cloud_stand_in.cpp
+++ b/tests/sim/fake_cloud.cpp
@@ -1,4 +1,4 @@
-#include "sim/cloud_stand_in.hpp"
+#include "sim/fake_cloud.hpp"
 
 #include <algorithm>
 
@@ -7,9 +7,8 @@
 using sansio::HttpResult;
 using wire::Writer;
 
-CloudStandIn::CloudStandIn(Clock& clock, std::vector<wire::MachineType> types,
-                           std::size_t most_machines, Millis list_lag, std::uint64_t seed,
-                           Events events)
+FakeCloud::FakeCloud(Clock& clock, std::vector<wire::MachineType> types, std::size_t most_machines,
+                     Millis list_lag, std::uint64_t seed, Events events)
     : clock_(clock),
       types_(std::move(types)),
       most_machines_(most_machines),
@@ -18,8 +17,8 @@
       trouble_rng_(seed * 17 + 3),
       events_(std::move(events)) {}
 
-HttpResult CloudStandIn::handle(const std::string& method, const std::string& target,
-                                const std::string& body) {
+HttpResult FakeCloud::handle(const std::string& method, const std::string& target,
+                             const std::string& body) {
     if (outage_) return {503, Writer().map(1).text("error").text("trouble").take()};
     if (over_rate()) return {429, {}};
     if (target == "/machine_types") {
@@ -42,7 +41,7 @@
 }
 
 // Bursts of two seconds' worth are allowed.
-bool CloudStandIn::over_rate() {
+bool FakeCloud::over_rate() {
     if (rps_ <= 0) return false;
     tokens_ = std::min(2 * rps_, tokens_ + rps_ * to_seconds(clock_.now() - refilled_));
     refilled_ = clock_.now();
@@ -54,19 +53,19 @@
     return true;
 }
 
-std::size_t CloudStandIn::alive() const {
+std::size_t FakeCloud::alive() const {
     return static_cast<std::size_t>(
         std::count_if(machines_.begin(), machines_.end(), [](const auto& m) {
             return m.second.gone == Instant::max() && m.second.failed == Instant::max();
         }));
 }
 
-bool CloudStandIn::boot_trouble_in(const std::string& zone) const {
+bool FakeCloud::boot_trouble_in(const std::string& zone) const {
     return clock_.now() < boot_trouble_.until &&
            (boot_trouble_.zone.empty() || boot_trouble_.zone == zone);
 }
 
-HttpResult CloudStandIn::rent(const std::string& body) {
+HttpResult FakeCloud::rent(const std::string& body) {
     const auto request = wire::decode_scale_out_request(wire::Document::parse(body)->root());
     const auto known = claims_.find(request.idempotency_key);
     if (known != claims_.end()) return {200, known->second};
@@ -104,7 +103,7 @@
     return {200, claims_[request.idempotency_key]};
 }
 
-HttpResult CloudStandIn::remove(const std::string& body) {
+HttpResult FakeCloud::remove(const std::string& body) {
     for (const auto& host : wire::decode_hosts(wire::Document::parse(body)->root())) {
         events_.returned(host);
         take(host);
@@ -112,14 +111,14 @@
     return {200, {}};
 }
 
-void CloudStandIn::take(const HostName& host) {
+void FakeCloud::take(const HostName& host) {
     const auto it = machines_.find(host);
     if (it == machines_.end() || it->second.gone != Instant::max()) return;
     it->second.gone = clock_.now();
     events_.gone(host);
 }
 
-void CloudStandIn::fail(const HostName& host) {
+void FakeCloud::fail(const HostName& host) {
     const auto it = machines_.find(host);
     if (it == machines_.end() || it->second.gone != Instant::max()) return;
     it->second.failed = clock_.now();
@@ -127,7 +126,7 @@
 }
 
 // As it was some time ago.
-HttpResult CloudStandIn::list(const std::string& target) {
+HttpResult FakeCloud::list(const std::string& target) {
     const auto at = clock_.now() - list_lag_ * static_cast<std::int64_t>(rng_() % 200) / 100;
     const auto cut = target.find("from=");
     const auto from = cut == std::string::npos ? std::string() : target.substr(cut + 5);
--- a/tests/sim/cloud_stand_in.hpp
+++ b/tests/sim/fake_cloud.hpp
@@ -14,7 +14,7 @@
 
 namespace dunebridge::sim {
 
-class CloudStandIn {
+class FakeCloud {
   public:
     struct Machine {
         wire::MachineListing row;
@@ -28,8 +28,8 @@
         std::function<void(const HostName&)> returned;  // by the service, just before it is gone
     };
 
-    CloudStandIn(Clock& clock, std::vector<wire::MachineType> types, std::size_t most_machines,
-                 Millis list_lag, std::uint64_t seed, Events events);
+    FakeCloud(Clock& clock, std::vector<wire::MachineType> types, std::size_t most_machines,
+              Millis list_lag, std::uint64_t seed, Events events);
 
     sansio::HttpResult handle(const std::string& method, const std::string& target,
                               const std::string& body);
@@ -42,13 +42,13 @@
     std::uint64_t refusals() const { return refusals_; }
     // Until then machines of the zone, or of all, take so many times as long to come up, or never
     // do so, that share of them.
-    struct BootTrouble {
+    struct BootFault {
         double factor = 1;
         double never = 0;
         std::string zone;  // empty: all
         Instant until{};
     };
-    void set_boot_trouble(BootTrouble trouble) { boot_trouble_ = std::move(trouble); }
+    void set_boot_fault(BootFault trouble) { boot_trouble_ = std::move(trouble); }
     void set_capacity(std::size_t most) { most_machines_ = most; }
     // The machine vanishes without the service's wish.
     void take(const HostName& host);
@@ -71,7 +71,7 @@
     Millis list_lag_;
     std::mt19937_64 rng_;
     std::mt19937_64 trouble_rng_;  // its own, so that other days stay as they are
-    BootTrouble boot_trouble_;
+    BootFault boot_trouble_;
     Events events_;
     bool outage_ = false;
     double rps_ = 0;  // 0: none
--- a/tests/sim/state_stand_in.cpp
+++ b/tests/sim/fake_kv_store.cpp
@@ -1,4 +1,4 @@
-#include "sim/state_stand_in.hpp"
+#include "sim/fake_kv_store.hpp"
 
 #include <algorithm>
 #include <memory>
@@ -52,12 +52,12 @@
 
 }  // namespace
 
-std::string StateStandIn::value(const std::string& key) const {
+std::string FakeKvStore::value(const std::string& key) const {
     const auto it = keys_.find(key);
     return it == keys_.end() ? std::string() : it->second.value;
 }
 
-std::map<std::string, std::string> StateStandIn::values(const std::string& prefix) const {
+std::map<std::string, std::string> FakeKvStore::values(const std::string& prefix) const {
     std::map<std::string, std::string> out;
     for (auto it = keys_.lower_bound(prefix); it != keys_.end(); ++it) {
         if (!it->first.starts_with(prefix)) break;
@@ -66,7 +66,7 @@
     return out;
 }
 
-bool StateStandIn::Bucket::take(double n, double rate, Instant now) {
+bool FakeKvStore::Bucket::take(double n, double rate, Instant now) {
     if (tokens < 0) tokens = rate;
     tokens = std::min(rate, tokens + rate * to_seconds(now - last));
     last = now;
@@ -75,7 +75,7 @@
     return true;
 }
 
-void StateStandIn::count_changes(std::size_t n) {
+void FakeKvStore::count_changes(std::size_t n) {
     changes_made_ += n;
     last_second_.emplace_back(clock_.now(), n);
     std::erase_if(last_second_,
@@ -85,7 +85,7 @@
     most_in_a_second_ = std::max(most_in_a_second_, sum);
 }
 
-void StateStandIn::set_outage(bool outage) {
+void FakeKvStore::set_outage(bool outage) {
     outage_ = outage;
     if (outage) return;
     // After an outage every lease has its full time again.
@@ -93,8 +93,8 @@
     notify();
 }
 
-void StateStandIn::handle(const std::string& method, const std::string& target,
-                          const std::string& body, Reply reply) {
+void FakeKvStore::handle(const std::string& method, const std::string& target,
+                         const std::string& body, Reply reply) {
     if (outage_) {
         reply({503, {}});
         return;
@@ -137,7 +137,7 @@
     }
 }
 
-void StateStandIn::expire() {
+void FakeKvStore::expire() {
     if (outage_) return;
     bool changed = false;
     for (auto it = leases_.begin(); it != leases_.end();) {
@@ -159,12 +159,12 @@
     if (changed) notify();
 }
 
-void StateStandIn::remove(const std::string& key) {
+void FakeKvStore::remove(const std::string& key) {
     keys_.erase(key);
     changes_.push_back({rev_, key, true, {}});
 }
 
-void StateStandIn::get(const std::string& key, const Reply& reply) {
+void FakeKvStore::get(const std::string& key, const Reply& reply) {
     const auto it = keys_.find(key);
     if (it == keys_.end()) {
         reply({404, Writer().map(1).text("store_rev").count(rev_).take()});
@@ -176,7 +176,7 @@
     reply({200, w.take()});
 }
 
-void StateStandIn::list(const std::string& query, const Reply& reply) {
+void FakeKvStore::list(const std::string& query, const Reply& reply) {
     const auto prefix = parameter(query, "starts");
     const auto from = parameter(query, "from");
     const auto page = std::min<std::uint64_t>(number(parameter(query, "page")), limits_.page);
@@ -200,7 +200,7 @@
     reply({200, w.take()});
 }
 
-void StateStandIn::transact(const std::string& body, const Reply& reply) {
+void FakeKvStore::transact(const std::string& body, const Reply& reply) {
     const auto doc = Document::parse(body);
     const auto preconditions = doc->root()["guards"];
     const auto writes = doc->root()["writes"];
@@ -259,7 +259,7 @@
     if (writes.size() > 0) notify();
 }
 
-void StateStandIn::watch(const std::string& query, const Reply& reply) {
+void FakeKvStore::watch(const std::string& query, const Reply& reply) {
     auto w = std::make_shared<Watch>(
         Watch{parameter(query, "starts"), number(parameter(query, "from")), reply, false});
     if (answer(*w, false)) return;
@@ -269,7 +269,7 @@
     });
 }
 
-bool StateStandIn::answer(Watch& watch, bool force) {
+bool FakeKvStore::answer(Watch& watch, bool force) {
     if (watch.done) return true;
     if (watches_stalled_) return false;
     std::vector<const Change*> news;
@@ -292,7 +292,7 @@
     return true;
 }
 
-void StateStandIn::notify() {
+void FakeKvStore::notify() {
     if (outage_ || watches_stalled_) return;
     std::erase_if(watches_, [this](const auto& w) { return answer(*w, false); });
 }
--- a/tests/sim/state_stand_in.hpp
+++ b/tests/sim/fake_kv_store.hpp
@@ -13,11 +13,11 @@
 
 namespace dunebridge::sim {
 
-class StateStandIn {
+class FakeKvStore {
   public:
     using Reply = std::function<void(sansio::HttpResult)>;
 
-    explicit StateStandIn(Clock& clock) : clock_(clock) {}
+    explicit FakeKvStore(Clock& clock) : clock_(clock) {}
 
     void handle(const std::string& method, const std::string& target, const std::string& body,
                 Reply reply);
--- a/tests/sim/worker_stand_in.cpp
+++ b/tests/sim/fake_worker.cpp
@@ -1,4 +1,4 @@
-#include "sim/worker_stand_in.hpp"
+#include "sim/fake_worker.hpp"
 
 #include <algorithm>
 
@@ -11,9 +11,9 @@
 constexpr Millis kStep{100};
 }
 
-WorkerStandIn::WorkerStandIn(Clock& clock, WorkerHost& world, const config::Config& config,
-                             const wire::MachineType& type, HostName host, std::string zone,
-                             bool spot, std::uint64_t seed)
+FakeWorker::FakeWorker(Clock& clock, WorkerHost& world, const config::Config& config,
+                       const wire::MachineType& type, HostName host, std::string zone, bool spot,
+                       std::uint64_t seed)
     : clock_(clock),
       world_(world),
       config_(config),
@@ -23,15 +23,15 @@
       spot_(spot),
       rng_(seed) {}
 
-void WorkerStandIn::start() {
+void FakeWorker::start() {
     lease_from_ = report_at_ = clock_.now();
     node_ = rng_() % world_.node_count();
     tick();
 }
 
-void WorkerStandIn::hang(Millis for_) { hang_until_ = clock_.now() + for_; }
+void FakeWorker::hang(Millis for_) { hang_until_ = clock_.now() + for_; }
 
-void WorkerStandIn::tick() {
+void FakeWorker::tick() {
     if (gone_) return;
     if (!hanging()) {
         check_lease();
@@ -41,7 +41,7 @@
     clock_.after(kStep, [this] { tick(); });
 }
 
-void WorkerStandIn::check_lease() {
+void FakeWorker::check_lease() {
     if (clock_.now() - lease_from_ <= config_.lease) return;
     for (const auto& [task, t] : tasks_) killed_ += t.phase != TaskPhase::exited ? 1 : 0;
     tasks_.clear();
@@ -50,7 +50,7 @@
     changed();
 }
 
-std::set<TaskRef> WorkerStandIn::present() {
+std::set<TaskRef> FakeWorker::present() {
     std::set<TaskRef> out;
     if (gone_) return out;
     // A hanging machine's lease ends all the same.
@@ -61,13 +61,13 @@
     return out;
 }
 
-bool WorkerStandIn::has(const TaskRef& task) {
+bool FakeWorker::has(const TaskRef& task) {
     if (gone_ || clock_.now() - lease_from_ > config_.lease) return false;
     const auto it = tasks_.find(task);
     return it != tasks_.end() && it->second.phase != TaskPhase::exited;
 }
 
-std::uint32_t WorkerStandIn::present_of(const JobId& job, const TaskRef& aside) {
+std::uint32_t FakeWorker::present_of(const JobId& job, const TaskRef& aside) {
     std::uint32_t n = 0;
     for (auto it = tasks_.lower_bound({job, 0}); it != tasks_.end() && it->first.job == job; ++it) {
         if (it->first != aside && has(it->first)) ++n;
@@ -75,7 +75,7 @@
     return n;
 }
 
-void WorkerStandIn::advance() {
+void FakeWorker::advance() {
     for (auto& [task, t] : tasks_) {
         if (t.phase == TaskPhase::exited || clock_.now() < t.next) continue;
         if (t.phase == TaskPhase::fetching) {
@@ -93,7 +93,7 @@
     }
 }
 
-void WorkerStandIn::report() {
+void FakeWorker::report() {
     in_flight_ = true;
     last_sent_ = clock_.now();
     sent_tenure_ = tenure_;
@@ -101,11 +101,11 @@
     const auto jitter = static_cast<std::int64_t>(rng_() % 50) - 25;
     report_at_ = clock_.now() + config_.report + config_.report * jitter / 100;
     clock_.after(Millis(4000),
-                 [this, sequence = sequence_] { checkin_answered(sequence, nullptr); });
-    world_.send_checkin(host_, node_, report_body());
+                 [this, sequence = sequence_] { heartbeat_answered(sequence, nullptr); });
+    world_.send_heartbeat(host_, node_, report_body());
 }
 
-std::string WorkerStandIn::report_body() {
+std::string FakeWorker::report_body() {
     wire::WorkerHeartbeat r;
     r.host = host_;
     r.endpoint = endpoint();
@@ -121,12 +121,12 @@
     return wire::encode(r);
 }
 
-void WorkerStandIn::try_node(std::size_t node, Millis pause) {
+void FakeWorker::try_node(std::size_t node, Millis pause) {
     node_ = node;
     report_at_ = clock_.now() + pause;
 }
 
-void WorkerStandIn::checkin_answered(std::uint64_t sequence, const sansio::HttpResult* reply) {
+void FakeWorker::heartbeat_answered(std::uint64_t sequence, const sansio::HttpResult* reply) {
     if (gone_ || !in_flight_ || sequence != sequence_ || hanging()) return;
     in_flight_ = false;
     const auto next = (node_ + 1) % world_.node_count();
@@ -160,7 +160,7 @@
     for (const auto& order : answer.orders) execute(order);
 }
 
-sansio::HttpResult WorkerStandIn::commands(const std::string& body) {
+sansio::HttpResult FakeWorker::commands(const std::string& body) {
     check_lease();
     const auto c = wire::decode_commands(wire::Document::parse(body)->root());
     if (c.token < epoch_ || c.session != tenure_) return {409, report_body()};
@@ -172,7 +172,7 @@
     return {200, report_body()};
 }
 
-void WorkerStandIn::start_task(const wire::TaskCommand& o) {
+void FakeWorker::start_task(const wire::TaskCommand& o) {
     const auto it = tasks_.find(o.task);
     if (it != tasks_.end() && it->second.attempt == o.attempt) return;
     WorkerTask t;
@@ -198,7 +198,7 @@
     tasks_[o.task] = t;
 }
 
-void WorkerStandIn::execute(const wire::TaskCommand& o) {
+void FakeWorker::execute(const wire::TaskCommand& o) {
     if (o.verb == wire::CommandKind::start) {
         start_task(o);
         changed();
--- a/tests/sim/worker_stand_in.hpp
+++ b/tests/sim/fake_worker.hpp
@@ -32,17 +32,18 @@
     virtual bool fails(const TaskRef& task) = 0;
     virtual void task_started(const HostName& host, const TaskRef& task) = 0;
     virtual void task_completed(const TaskRef& task) = 0;
-    // Sends a report to a node; the answer comes back through checkin_answered().
-    virtual void send_checkin(const HostName& host, std::size_t node, const std::string& body) = 0;
+    // Sends a report to a node; the answer comes back through heartbeat_answered().
+    virtual void send_heartbeat(const HostName& host, std::size_t node,
+                                const std::string& body) = 0;
     virtual std::size_t node_count() const = 0;
     virtual std::size_t node_named(const std::string& name) const = 0;  // or node_count()
 };
 
-class WorkerStandIn {
+class FakeWorker {
   public:
-    WorkerStandIn(Clock& clock, WorkerHost& world, const config::Config& config,
-                  const wire::MachineType& type, HostName host, std::string zone, bool spot,
-                  std::uint64_t seed);
+    FakeWorker(Clock& clock, WorkerHost& world, const config::Config& config,
+               const wire::MachineType& type, HostName host, std::string zone, bool spot,
+               std::uint64_t seed);
 
     void start();
     void stop() { gone_ = true; }
@@ -51,7 +52,7 @@
     void set_faulty(bool faulty) { faulty_ = faulty; }
 
     // Null: no answer, or not in time.
-    void checkin_answered(std::uint64_t sequence, const sansio::HttpResult* reply);
+    void heartbeat_answered(std::uint64_t sequence, const sansio::HttpResult* reply);
     sansio::HttpResult commands(const std::string& body);
     bool hanging() const { return clock_.now() < hang_until_; }
     Instant hang_until() const { return hang_until_; }
--- a/tests/sim/troubles.cpp
+++ b/tests/sim/fault_injection.cpp
@@ -1,7 +1,7 @@
 // Troubles that a scenario brings about, and what is asked of the service once they are over.
 #include <algorithm>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 
@@ -11,7 +11,7 @@
 
 // ---- the state service ----
 
-void World::refuse(std::size_t i, Millis span) {
+void SimulatedCluster::refuse(std::size_t i, Millis span) {
     if (i >= nodes_.size()) return;
     auto& node = nodes_[i];
     node.refused = true;
@@ -19,25 +19,25 @@
     heal_at(node.cut_until, i);
 }
 
-void World::state_outage(Millis span) {
+void SimulatedCluster::kv_store_outage(Millis span) {
     state_.set_outage(true);
     clock_.after(span, [this] { state_.set_outage(false); });
 }
 
-bool World::strikes(const Chance& chance) {
+bool SimulatedCluster::occurs(const FaultWindow& chance) {
     return clock_.now() < chance.until &&
-           std::uniform_real_distribution<>(0, 1)(harsh_rng_) < chance.share;
+           std::uniform_real_distribution<>(0, 1)(severe_fault_rng_) < chance.share;
 }
 
-void World::serve_late(const HttpCall& c) {
-    clock_.after(Millis(2000 + static_cast<std::int64_t>(harsh_rng_() % 10000)), [this, c] {
+void SimulatedCluster::serve_late(const HttpCall& c) {
+    clock_.after(Millis(2000 + static_cast<std::int64_t>(severe_fault_rng_() % 10000)), [this, c] {
         state_.handle(c.method, c.target, c.body, [](const sansio::HttpResult&) {});
     });
 }
 
 // ---- users ----
 
-void World::cancel_running(std::size_t jobs) {
+void SimulatedCluster::cancel_running(std::size_t jobs) {
     const auto leads = leader();
     for (auto& [id, user] : users_) {
         if (jobs == 0) return;
@@ -45,22 +45,22 @@
             continue;
         }
         --jobs;
-        clock_.after(Millis(static_cast<std::int64_t>(harsh_rng_() % 200)),
+        clock_.after(Millis(static_cast<std::int64_t>(severe_fault_rng_() % 200)),
                      [this, &user, leads] { abort_at(user, (leads + 1) % nodes_.size()); });
         clock_.after(Millis(1500), [this, &user] { abort(user); });
     }
 }
 
-std::size_t World::cancelled_told() const {
+std::size_t SimulatedCluster::cancellations_seen() const {
     return static_cast<std::size_t>(std::count_if(users_.begin(), users_.end(), [](const auto& u) {
         return u.second.final == wire::JobPhase::cancelled;
     }));
 }
 
-void World::meet_the_end(User& user) {
+void SimulatedCluster::query_at_completion(User& user) {
     if (user.final) return;
-    const auto any = [this] { return harsh_rng_() % nodes_.size(); };
-    clock_.after(Millis(static_cast<std::int64_t>(harsh_rng_() % 60)),
+    const auto any = [this] { return severe_fault_rng_() % nodes_.size(); };
+    clock_.after(Millis(static_cast<std::int64_t>(severe_fault_rng_() % 60)),
                  [this, &user, any] { abort_at(user, any()); });
     clock_.after(Millis(1500), [this, &user] { abort(user); });
     wire::Writer w;
@@ -69,16 +69,16 @@
     ask_again(user, any(), "POST", "/v1/jobs", w.take(), "at its end");
 }
 
-void World::odd_requests(Millis span) {
+void SimulatedCluster::inject_invalid_requests(Millis span) {
     for (Millis at{0}; at < span; at += Millis(700)) {
-        clock_.after(at, [this] { odd_request(); });
+        clock_.after(at, [this] { send_invalid_request(); });
     }
 }
 
-void World::odd_request() {
-    const auto node = harsh_rng_() % nodes_.size();
+void SimulatedCluster::send_invalid_request() {
+    const auto node = severe_fault_rng_() % nodes_.size();
     auto& user =
-        std::next(users_.begin(), static_cast<std::ptrdiff_t>(harsh_rng_() % users_.size()))
+        std::next(users_.begin(), static_cast<std::ptrdiff_t>(severe_fault_rng_() % users_.size()))
             ->second;
     const auto expect = [this](int status, const char* what) {
         return [this, status, what](const HttpResponse& a) {
@@ -87,7 +87,7 @@
             }
         };
     };
-    const auto id = fmt::format("req-8{:08}", ++odd_requests_);
+    const auto id = fmt::format("req-8{:08}", ++invalid_requests_);
     auto spec = user.spec;
     spec.id = JobId(id);
     spec.waits_on.clear();
@@ -95,7 +95,7 @@
         request(node, Listener::front, "POST", "/v1/jobs", body, std::move(then));
     };
     wire::Writer w;
-    switch (harsh_rng_() % 4) {
+    switch (severe_fault_rng_() % 4) {
         case 0:  // lacks every field but its name
             post(w.map(1).text("name_id").text(id).take(), expect(400, "lacks fields"));
             break;
@@ -116,22 +116,22 @@
                 node, Listener::front, "POST", "/v1/jobs/" + user.spec.id.get() + "/abort", {},
                 [this, &user, late = expect(200, "cancels what is done")](const HttpResponse& a) {
                     late(a);
-                    if (a.status == 200) told(user, a);
+                    if (a.status == 200) record_response(user, a);
                 });
     }
 }
 
-void World::poll_storm(int factor, Millis span) {
+void SimulatedCluster::poll_storm(int factor, Millis span) {
     constexpr Millis step{500};
     constexpr std::uint64_t steps_between_polls = 9;  // of a user who is not impatient
     if (span < step) return;
     for (auto& [id, user] : users_) {
         if (!user.accepted) continue;
         for (int n = 1; n < factor; ++n) {
-            if (harsh_rng_() % steps_between_polls != 0) continue;
-            const Millis within(
-                static_cast<std::int64_t>(harsh_rng_() % static_cast<std::uint64_t>(step.count())));
-            clock_.after(within, [this, &user, node = harsh_rng_() % nodes_.size()] {
+            if (severe_fault_rng_() % steps_between_polls != 0) continue;
+            const Millis within(static_cast<std::int64_t>(
+                severe_fault_rng_() % static_cast<std::uint64_t>(step.count())));
+            clock_.after(within, [this, &user, node = severe_fault_rng_() % nodes_.size()] {
                 ask_again(user, node, "GET", "/v1/jobs/" + user.spec.id.get(), {}, "storm");
             });
         }
@@ -141,95 +141,95 @@
 
 // ---- machines ----
 
-World::Cut World::worker_cut(const HostName& host) const {
+SimulatedCluster::Cut SimulatedCluster::worker_cut(const HostName& host) const {
     const auto it = worker_cuts_.find(host);
     return it == worker_cuts_.end() || clock_.now() >= it->second.second ? Cut::none
                                                                          : it->second.first;
 }
 
-void World::machines_unreached(Unreached how, unsigned percent, Millis span) {
+void SimulatedCluster::inject_worker_fault(WorkerFault how, unsigned percent, Millis span) {
     for (auto& [host, w] : workers_) {
-        if (w->gone() || harsh_rng_() % 100 >= percent) continue;
+        if (w->gone() || severe_fault_rng_() % 100 >= percent) continue;
         const auto until = clock_.now() + span;
         switch (how) {
-            case Unreached::cut:
+            case WorkerFault::cut:
                 worker_cuts_[host] = {Cut::drop, until};
                 break;
-            case Unreached::held:
+            case WorkerFault::held:
                 worker_cuts_[host] = {Cut::hold, until};
                 break;
-            case Unreached::unresponsive:
+            case WorkerFault::unresponsive:
                 worker_cuts_[host] = {Cut::unresponsive, until};
                 break;
-            case Unreached::mute:
+            case WorkerFault::mute:
                 worker_cuts_[host] = {Cut::mute, until};
                 break;
-            case Unreached::hung:
+            case WorkerFault::hung:
                 w->hang(span);
         }
     }
 }
 
-void World::machines_die(unsigned percent) {
+void SimulatedCluster::kill_machines(unsigned percent) {
     for (auto& [host, w] : workers_) {
-        if (w->gone() || harsh_rng_() % 100 >= percent) continue;
-        harsh_rng_() % 2 ? cloud_.take(host) : cloud_.fail(host);
+        if (w->gone() || severe_fault_rng_() % 100 >= percent) continue;
+        severe_fault_rng_() % 2 ? cloud_.take(host) : cloud_.fail(host);
     }
 }
 
 // ---- nodes ----
 
-void World::stand_still(std::size_t i, Millis span) {
-    if (i < nodes_.size()) nodes_[i].still_until = clock_.now() + span;
+void SimulatedCluster::stall_process(std::size_t i, Millis span) {
+    if (i < nodes_.size()) nodes_[i].stalled_until = clock_.now() + span;
 }
 
-void World::all_stand_still(Millis span) {
-    for (std::size_t i = 0; i < nodes_.size(); ++i) stand_still(i, span);
+void SimulatedCluster::stall_all_processes(Millis span) {
+    for (std::size_t i = 0; i < nodes_.size(); ++i) stall_process(i, span);
 }
 
-void World::any_bad_night() {
-    const Millis span(1000 + static_cast<std::int64_t>(harsh_rng_() % 60000));
-    const auto any = harsh_rng_() % nodes_.size();
-    const auto node = leader() < nodes_.size() && harsh_rng_() % 3 != 0 ? leader() : any;
-    const std::string zone = harsh_rng_() % 2 ? "a" : "b";
-    switch (harsh_rng_() % 7) {
+void SimulatedCluster::inject_random_compound_fault() {
+    const Millis span(1000 + static_cast<std::int64_t>(severe_fault_rng_() % 60000));
+    const auto any = severe_fault_rng_() % nodes_.size();
+    const auto node = leader() < nodes_.size() && severe_fault_rng_() % 3 != 0 ? leader() : any;
+    const std::string zone = severe_fault_rng_() % 2 ? "a" : "b";
+    switch (severe_fault_rng_() % 7) {
         case 0:
-            return boot_trouble(5, 0.2, span);
+            return inject_boot_fault(5, 0.2, span);
         case 1:
-            return boot_trouble(1, 1, span, zone);
+            return inject_boot_fault(1, 1, span, zone);
         case 2:
             return crash_node(node, span);
         case 3:
             return crash_all(span);
         case 4:
-            return stand_still(node, span);
+            return stall_process(node, span);
         case 5:
-            return all_stand_still(span);
+            return stall_all_processes(span);
         default:
             return poll_storm(8, span);
     }
 }
 
-void World::crash_all(Millis down) {
+void SimulatedCluster::crash_all(Millis down) {
     for (std::size_t i = 0; i < nodes_.size(); ++i) crash(i, down);
 }
 
-void World::upgrade(std::size_t i, Millis down) {
+void SimulatedCluster::upgrade(std::size_t i, Millis down) {
     nodes_[i].old_version = false;
     crash(i, down);
 }
 
-std::uint64_t World::format() const {
+std::uint64_t SimulatedCluster::format() const {
     const auto mark = wire::Document::parse(state_.value(kv::kFormatMark));
     return mark ? mark->root()["v"].need_count("v") : config::kChunkFormat;
 }
 
-void World::lower_limits() {
+void SimulatedCluster::lower_limits() {
     state_.set_limits({config_.state.rps(), config_.state.write_rps(), config_.state.txn_ops(),
                        config_.state.value_bytes(), 20});
 }
 
-void World::cut_zone(const std::string& zone, std::size_t i, Millis span) {
+void SimulatedCluster::cut_zone(const std::string& zone, std::size_t i, Millis span) {
     const auto until = clock_.now() + span;
     for (auto& [host, w] : workers_) {
         if (!w->gone() && w->zone() == zone) worker_cuts_[host] = {Cut::hold, until};
@@ -237,7 +237,7 @@
     cut_node(i, {true, true, true}, true, span);
 }
 
-void World::cut_node(std::size_t i, Lost lost, bool held, Millis span) {
+void SimulatedCluster::cut_node(std::size_t i, Lost lost, bool held, Millis span) {
     if (i >= nodes_.size()) return;
     auto& node = nodes_[i];
     const auto cut = held ? Cut::hold : Cut::drop;
@@ -248,62 +248,64 @@
     heal_at(node.cut_until, i);
 }
 
-void World::any_trouble() {
-    const Millis span(1000 + static_cast<std::int64_t>(harsh_rng_() % 30000));
-    const auto percent = static_cast<unsigned>(20 + harsh_rng_() % 60);
-    const auto any = harsh_rng_() % nodes_.size();
-    const auto i = harsh_rng_() % 3 != 0 && leader() < nodes_.size() ? leader() : any;
-    const bool held = harsh_rng_() % 2 == 0;
-    switch (harsh_rng_() % 21) {
+void SimulatedCluster::inject_random_fault() {
+    const Millis span(1000 + static_cast<std::int64_t>(severe_fault_rng_() % 30000));
+    const auto percent = static_cast<unsigned>(20 + severe_fault_rng_() % 60);
+    const auto any = severe_fault_rng_() % nodes_.size();
+    const auto i = severe_fault_rng_() % 3 != 0 && leader() < nodes_.size() ? leader() : any;
+    const bool held = severe_fault_rng_() % 2 == 0;
+    switch (severe_fault_rng_() % 21) {
         case 0:
             return refuse(i, span);
         case 1:
-            return state_outage(span * 2);
+            return kv_store_outage(span * 2);
         case 2:
-            return state_slow(span);
+            return slow_kv_store(span);
         case 3:
-            return hold_commands(span);
+            return delay_commands(span);
         case 4:
-            return late_writes(0.3, span);
+            return delay_transactions(0.3, span);
         case 5:
-            return late_reports(0.5, span);
+            return duplicate_heartbeats(0.5, span);
         case 6:
-            return cancel_at_end(0.5, span);
+            return cancel_on_completion(0.5, span);
         case 7:
-            return odd_requests(span);
+            return inject_invalid_requests(span);
         case 8:
         case 9:
-            return cancel_running(1 + harsh_rng_() % 6);
+            return cancel_running(1 + severe_fault_rng_() % 6);
         case 10:
-            return machines_unreached(Unreached::cut, percent, span);
+            return inject_worker_fault(WorkerFault::cut, percent, span);
         case 11:
-            return machines_unreached(Unreached::held, percent, span);
+            return inject_worker_fault(WorkerFault::held, percent, span);
         case 12:
-            return machines_unreached(Unreached::unresponsive, percent, span);
+            return inject_worker_fault(WorkerFault::unresponsive, percent, span);
         case 13:
-            return machines_unreached(Unreached::mute, percent, span);
+            return inject_worker_fault(WorkerFault::mute, percent, span);
         case 14:
-            return machines_unreached(Unreached::hung, percent, span);
+            return inject_worker_fault(WorkerFault::hung, percent, span);
         case 15:
-            return crash_node(i, Millis(50 + static_cast<std::int64_t>(harsh_rng_() % 4000)));
+            return crash_node(i,
+                              Millis(50 + static_cast<std::int64_t>(severe_fault_rng_() % 4000)));
         case 16:
-            return crash_all(Millis(50 + static_cast<std::int64_t>(harsh_rng_() % 20000)));
+            return crash_all(Millis(50 + static_cast<std::int64_t>(severe_fault_rng_() % 20000)));
         case 17:
             return cut_node(i, {true, true, false}, held, span);
         case 18:
-            return lost_write_answers(0.4, span);
+            return drop_transaction_responses(0.4, span);
         case 19:
             return cut_node(i,
-                            {harsh_rng_() % 2 == 0, harsh_rng_() % 3 == 0, harsh_rng_() % 2 == 0},
+                            {severe_fault_rng_() % 2 == 0, severe_fault_rng_() % 3 == 0,
+                             severe_fault_rng_() % 2 == 0},
                             held, span);
         default:
-            return cut_zone(harsh_rng_() % 2 ? "a" : "b", any, span);
+            return cut_zone(severe_fault_rng_() % 2 ? "a" : "b", any, span);
     }
 }
 
 // ---- once they are over ----
 
-World::Usage World::usage() {
+SimulatedCluster::Usage SimulatedCluster::usage() {
     Usage u;
     for (auto& [host, w] : workers_) {
         for (const auto& task : w->present()) {
@@ -319,7 +321,7 @@
 
 // Whether a waiting task of the job fits a machine that is there, reached and has room, with its
 // team under its limit.
-bool World::could_start(const User& user, Usage& usage) {
+bool SimulatedCluster::could_start(const User& user, Usage& usage) {
     const auto& spec = user.spec;
     auto& zones = usage.zones[spec.id];
     if (user.completed.size() + usage.has_started[spec.id] >= spec.task_count) return false;
@@ -348,16 +350,16 @@
 // Of a job that fails everywhere a few tasks are tried now and then. Of one with thousands of small
 // tasks some wait, and some room is left, at any moment while others start; it waits when none
 // does.
-bool World::starts_by_and_by(const User& user) {
+bool SimulatedCluster::starts_gradually(const User& user) {
     constexpr std::uint32_t giant = 1000;
-    return user.mistaken || user.spec.task_count >= giant;
+    return user.failing || user.spec.task_count >= giant;
 }
 
 // No job is left waiting for 90 s while a machine that fits has room and its team is under its
 // limit.
-void World::check_waiting() {
+void SimulatedCluster::check_waiting() {
     constexpr Millis most{90000};
-    if (clock_.now() < std::max(next_waiting_check_, troubles_end_)) return;
+    if (clock_.now() < std::max(next_waiting_check_, faults_end_)) return;
     next_waiting_check_ = clock_.now() + Millis(options_.large_fleet ? 10000 : 1000);
     auto now = usage();
     for (auto& [id, user] : users_) {
@@ -368,7 +370,7 @@
         } else if (user.could_start_since == Instant::max()) {
             user.could_start_since = clock_.now();
         } else if (clock_.now() - std::max(user.could_start_since,
-                                           starts_by_and_by(user) ? user.last_start : Instant{}) >
+                                           starts_gradually(user) ? user.last_start : Instant{}) >
                    most) {
             broken("left_waiting", id.get());
         }
--- a/tests/sim/world_rules.cpp
+++ b/tests/sim/invariants.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 #include <tuple>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 
@@ -13,7 +13,7 @@
 constexpr Millis kInFlight{20};
 }  // namespace
 
-void World::task_started(const HostName& host, const TaskRef& task) {
+void SimulatedCluster::task_started(const HostName& host, const TaskRef& task) {
     ++starts_;
     users_.at(task.job).last_start = clock_.now();
     auto& began = users_.at(task.job).began;
@@ -49,25 +49,25 @@
         broken("wrong_place", task.str() + " too many in one zone");
     }
     if (!dependencies_done(user)) broken("too_early", task.str());
-    if (clock_.now() > user.told_cancelled_at) ++starts_after_cancellation_;
-    if (clock_.now() - user.told_cancelled_at > kInFlight) ++starts_long_after_cancellation_;
-    if (clock_.now() - user.told_cancelled_at > config_.cancel) {
+    if (clock_.now() > user.cancellation_seen_at) ++starts_after_cancellation_;
+    if (clock_.now() - user.cancellation_seen_at > kInFlight) ++starts_long_after_cancellation_;
+    if (clock_.now() - user.cancellation_seen_at > config_.cancel) {
         broken("ran_cancelled", task.str() + " started");
     }
 }
 
-void World::broken(const std::string& rule, const std::string& detail) {
-    broken_.push_back(fmt::format("{} at {:.2f} s: {}", rule,
-                                  to_seconds(clock_.now().time_since_epoch()), detail));
+void SimulatedCluster::broken(const std::string& rule, const std::string& detail) {
+    violations_.push_back(fmt::format("{} at {:.2f} s: {}", rule,
+                                      to_seconds(clock_.now().time_since_epoch()), detail));
 }
 
-void World::check() {
+void SimulatedCluster::check() {
     std::map<std::string, double> use;
     for (auto& [host, worker] : workers_) {
         for (const auto& task : worker->present()) {
             const auto& user = users_.at(task.job);
             use[user.spec.team] += user.spec.cores;
-            if (clock_.now() - user.told_cancelled_at > config_.cancel) {
+            if (clock_.now() - user.cancellation_seen_at > config_.cancel) {
                 broken("ran_cancelled", task.str() + " is on " + host.get());
             }
         }
@@ -83,12 +83,12 @@
 
 // Once the troubles are over, a job about which no question is answered for 75 s is forgotten,
 // however others fare.
-void World::check_answers() {
+void SimulatedCluster::check_answers() {
     constexpr Millis most{75000};
-    if (clock_.now() < troubles_end_ + most) return;
+    if (clock_.now() < faults_end_ + most) return;
     for (const auto& [id, user] : users_) {
         if (!user.accepted || user.abort_asked) continue;
-        if (clock_.now() - std::max(user.last_answer, troubles_end_) > most) {
+        if (clock_.now() - std::max(user.last_answer, faults_end_) > most) {
             broken("forgotten", id.get() + " has no answer");
         }
     }
@@ -96,7 +96,7 @@
 
 // What everything else rests on: a task on a machine is in the ledger, with its attempt. It may
 // be missing only once it is proved gone.
-void World::check_ledger() {
+void SimulatedCluster::check_ledger() {
     using Recorded = std::tuple<std::string, std::string, std::uint64_t, std::uint64_t>;
     std::set<Recorded> recorded;  // host, job, index, attempt
     std::set<std::pair<std::string, std::uint64_t>> placed;
@@ -129,24 +129,24 @@
     }
 }
 
-std::string World::describe_broken() const {
+std::string SimulatedCluster::describe_violations() const {
     std::string out;
-    for (const auto& line : broken_) out += line + "\n";
+    for (const auto& line : violations_) out += line + "\n";
     return out;
 }
 
-std::size_t World::jobs_left() const {
+std::size_t SimulatedCluster::unfinished_jobs() const {
     return static_cast<std::size_t>(
         std::count_if(users_.begin(), users_.end(), [](const auto& u) { return !u.second.final; }));
 }
 
 // Asked at each step: the jobs submitted last are mostly the last to end.
-bool World::all_jobs_over() const {
+bool SimulatedCluster::all_jobs_terminal() const {
     return std::all_of(users_.rbegin(), users_.rend(),
                        [](const auto& user) { return user.second.final.has_value(); });
 }
 
-std::string World::describe_left() const {
+std::string SimulatedCluster::describe_unfinished() const {
     std::string out;
     for (const auto& [id, user] : users_) {
         if (user.final) continue;
@@ -157,7 +157,7 @@
     return out;
 }
 
-double World::least_served() const {
+double SimulatedCluster::least_served() const {
     std::map<std::string, std::pair<double, double>> groups;  // done, all
     for (const auto& [id, user] : users_) {
         if (user.abort_asked) continue;
@@ -171,7 +171,7 @@
     return least;
 }
 
-std::size_t World::machines_up() const {
+std::size_t SimulatedCluster::machines_up() const {
     return static_cast<std::size_t>(std::count_if(workers_.begin(), workers_.end(),
                                                   [](const auto& w) { return !w.second->gone(); }));
 }
--- a/tests/sim/fleet_day.hpp
+++ b/tests/sim/large_fleet_scenario.hpp
@@ -4,29 +4,29 @@
 
 #include <algorithm>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 
-inline Options fleet_options(std::size_t machines) {
-    Options options;
+inline ScenarioOptions fleet_options(std::size_t machines) {
+    ScenarioOptions options;
     options.seed = 21;
     options.large_fleet = true;
     options.fault_every_s = 0;
-    options.troubles_s = 150;
+    options.faults_s = 150;
     options.jobs = static_cast<int>(machines / 4);
     options.machines = machines;
     options.most_tasks = 250;
     return options;
 }
 
-struct FleetDay {
+struct LargeFleetScenario {
     std::size_t most_up = 0;
     std::size_t killed_by_lease = 0;
 };
 
-inline FleetDay run_fleet_day(World& world) {
-    FleetDay day;
+inline LargeFleetScenario run_fleet_day(SimulatedCluster& world) {
+    LargeFleetScenario day;
     const auto run_for = [&](int seconds) {
         for (int i = 0; i < seconds; i += 5) {
             world.run_for(Millis(5000));
--- a/tests/sim/drawn.hpp
+++ b/tests/sim/random_scenarios.hpp
@@ -1,16 +1,16 @@
 // Days of twos and threes of all troubles, drawn by a seed.
 #pragma once
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 
-inline Options drawn_options(std::uint64_t seed) {
-    Options options;
+inline ScenarioOptions random_scenario_options(std::uint64_t seed) {
+    ScenarioOptions options;
     options.seed = seed;
     options.fault_every_s = 0;
-    options.troubles_s = 150;
-    options.finish_s = 2000;
+    options.faults_s = 150;
+    options.drain_s = 2000;
     options.jobs = 24 + static_cast<int>(seed % 30);
     options.machines = 4 + seed % 12;
     if (seed % 3 == 0) options.task_s = 40;
@@ -18,11 +18,11 @@
     return options;
 }
 
-inline void run_drawn(World& world, std::uint64_t seed) {
+inline void run_random_scenario(SimulatedCluster& world, std::uint64_t seed) {
     for (int meeting = 0; meeting < 7; ++meeting) {
         world.run_for(Millis(15000));
         for (std::uint64_t n = 0; n < 2 + seed % 2; ++n) {
-            world.any_trouble();
+            world.inject_random_fault();
             world.run_for(Millis(800));
         }
     }
@@ -30,23 +30,23 @@
 }
 
 // Days that join the troubles of bad nights with all others.
-inline Options drawn_night_options(std::uint64_t seed) {
-    auto options = drawn_options(seed);
-    options.troubles_s = 200;
-    options.finish_s = 2500;
-    if (seed % 2 == 0) options.mistaken_percent = 15;
-    if (seed % 3 == 1) options.guests = true;
+inline ScenarioOptions random_compound_options(std::uint64_t seed) {
+    auto options = random_scenario_options(seed);
+    options.faults_s = 200;
+    options.drain_s = 2500;
+    if (seed % 2 == 0) options.failing_jobs_percent = 15;
+    if (seed % 3 == 1) options.guest_team = true;
     return options;
 }
 
-inline void run_drawn_night(World& world) {
+inline void run_random_compound_scenario(SimulatedCluster& world) {
     constexpr int meetings = 7;
     for (int meeting = 0; meeting < meetings; ++meeting) {
         world.run_for(Millis(15000));
-        world.any_bad_night();
+        world.inject_random_compound_fault();
         world.run_for(Millis(800));
-        world.any_trouble();
-        if (meeting % 2 == 0) world.any_bad_night();
+        world.inject_random_fault();
+        if (meeting % 2 == 0) world.inject_random_compound_fault();
     }
     world.run();
 }
--- a/tests/sim/world.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 #include <algorithm>
 
@@ -6,15 +6,15 @@
 
 namespace {
 
-config::Config make_config(const Options& options) {
-    const double size = static_cast<double>(options.machines) / Options().machines;
+config::Config make_config(const ScenarioOptions& options) {
+    const double size = static_cast<double>(options.machines) / ScenarioOptions().machines;
     config::Config c;
     c.name = NodeName("node-0");
     c.zones = {"a", "b"};
     c.teams = {{"red", 8 * size, 0, 24 * size, 0},
                {"blue", 8 * size, 0, 20 * size, 0},
                {"free", 0, 0, 0, 0}};
-    if (options.guests) c.teams.push_back({"guest", 0, 0, 0, 0});
+    if (options.guest_team) c.teams.push_back({"guest", 0, 0, 0, 0});
     c.report = Millis(3000);
     c.lease = Millis(15000);
     c.cancel = Millis(40000);
@@ -38,10 +38,10 @@
 
 }  // namespace
 
-World::World(const Options& options)
+SimulatedCluster::SimulatedCluster(const ScenarioOptions& options)
     : options_(options),
       rng_(options.seed),
-      harsh_rng_(options.seed * 31 + 5),
+      severe_fault_rng_(options.seed * 31 + 5),
       config_(make_config(options)),
       state_(clock_),
       cloud_(clock_, make_types(), options.machines, Millis(4000), options.seed * 7 + 1,
@@ -50,8 +50,8 @@
                   const auto type = std::find_if(types.begin(), types.end(), [&](const auto& t) {
                       return t.name == row.machine_type;
                   });
-                  auto worker = std::make_unique<WorkerStandIn>(
-                      clock_, *this, config_, *type, row.host, row.zone, row.spot, rng_());
+                  auto worker = std::make_unique<FakeWorker>(clock_, *this, config_, *type,
+                                                             row.host, row.zone, row.spot, rng_());
                   workers_[row.host] = std::move(worker);
                   workers_[row.host]->start();
               },
@@ -66,14 +66,14 @@
                   }
               }}) {
     nodes_.resize(3);
-    troubles_end_ = clock_.now() + from_seconds(options.troubles_s);
+    faults_end_ = clock_.now() + from_seconds(options.faults_s);
     config_.state = options.limits;
     if (options.large_fleet) config_.state = config::Limits({180, 70, 16, 48});
     for (auto& node : nodes_) node.old_version = options.old_format > 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) boot(i);
     options.urgent_flow ? make_flow() : make_users(options.jobs);
     if (options.fault_every_s > 0) plan_fault();
-    if (options.harsh) plan_harsh();
+    if (options.severe_faults) plan_severe_faults();
     if (!options.large_fleet) return;
     state_.set_limits({config_.state.rps(), config_.state.write_rps(), config_.state.txn_ops(),
                        config_.state.value_bytes(), 1000});
@@ -81,11 +81,11 @@
     check_every_ = check_ledger_every_ = Millis(1000);
 }
 
-World::~World() = default;
+SimulatedCluster::~SimulatedCluster() = default;
 
 // ---- the passing of time ----
 
-void World::step_once(Instant limit) {
+void SimulatedCluster::step_once(Instant limit) {
     clock_.step(limit);
     // A large world is looked at every few milliseconds; what starts is checked as it starts.
     if (workers_.size() <= 40 || clock_.now() >= next_check_) {
@@ -97,24 +97,24 @@
     next_ledger_check_ = clock_.now() + check_ledger_every_;
 }
 
-void World::run_for(Millis span) {
+void SimulatedCluster::run_for(Millis span) {
     const auto end = clock_.now() + span;
-    while (clock_.now() < end && broken_.empty()) step_once(end);
+    while (clock_.now() < end && violations_.empty()) step_once(end);
 }
 
-void World::crash_leader(Millis down) {
+void SimulatedCluster::crash_leader(Millis down) {
     const auto i = leader();
     if (i < nodes_.size()) crash(i, down);
 }
 
-std::size_t World::leader() const {
+std::size_t SimulatedCluster::leader() const {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
         if (nodes_[i].core && nodes_[i].core->leads()) return i;
     }
     return nodes_.size();
 }
 
-void World::isolate_leader(Millis span) {
+void SimulatedCluster::isolate_leader(Millis span) {
     const auto i = leader();
     if (i == nodes_.size()) return;
     auto& node = nodes_[i];
@@ -123,13 +123,13 @@
     clock_.after(span, [this, i] { nodes_[i].from_state = nodes_[i].from_nodes = Cut::none; });
 }
 
-std::size_t World::killed_by_lease() const {
+std::size_t SimulatedCluster::killed_by_lease() const {
     std::size_t sum = 0;
     for (const auto& [host, worker] : workers_) sum += worker->killed_by_lease();
     return sum;
 }
 
-std::optional<double> World::largest_began_s() const {
+std::optional<double> SimulatedCluster::largest_began_s() const {
     const User* largest = nullptr;
     for (const auto& [id, user] : users_) {
         if (!largest || user.spec.cores > largest->spec.cores) largest = &user;
@@ -138,13 +138,13 @@
     return to_seconds(largest->began - largest->submit_at);
 }
 
-void World::run() {
-    const auto limit = troubles_end_ + from_seconds(options_.finish_s);
+void SimulatedCluster::run() {
+    const auto limit = faults_end_ + from_seconds(options_.drain_s);
     Instant quiet_until = Instant::max();
-    while (clock_.now() < std::min(limit, quiet_until) && broken_.empty()) {
+    while (clock_.now() < std::min(limit, quiet_until) && violations_.empty()) {
         step_once(limit);
         // Some time after the last end, so that late messages are seen to do no harm.
-        if (quiet_until == Instant::max() && clock_.now() > troubles_end_ && all_jobs_over()) {
+        if (quiet_until == Instant::max() && clock_.now() > faults_end_ && all_jobs_terminal()) {
             quiet_until = clock_.now() + Millis(45000);
         }
     }
--- a/tests/sim/world.hpp
+++ b/tests/sim/simulated_cluster.hpp
@@ -14,15 +14,15 @@
 #include "controller/controller.hpp"
 #include "kv/keys.hpp"
 #include "sim/clock.hpp"
-#include "sim/cloud_stand_in.hpp"
-#include "sim/state_stand_in.hpp"
-#include "sim/worker_stand_in.hpp"
+#include "sim/fake_cloud.hpp"
+#include "sim/fake_kv_store.hpp"
+#include "sim/fake_worker.hpp"
 
 namespace dunebridge::sim {
 
-struct Options {
+struct ScenarioOptions {
     std::uint64_t seed = 1;
-    double troubles_s = 240;  // for how long faults come
+    double faults_s = 240;  // for how long faults come
     double fault_every_s = 12;
     int jobs = 24;
     std::size_t machines = 8;
@@ -30,11 +30,11 @@
     // Small urgent jobs that come all the time and would take every core, and one large job of
     // lower priority among them.
     bool urgent_flow = false;
-    double task_s = 0;      // run time of every task; 0: by class
-    double finish_s = 400;  // for how long after the troubles jobs may take to end
+    double task_s = 0;     // run time of every task; 0: by class
+    double drain_s = 400;  // for how long after the troubles jobs may take to end
     // Troubles of the larger fleets besides: nodes that stand still, zones cut off with packets
     // held, machines dying together, a slow state service, repeats of requests carried out.
-    bool harsh = false;
+    bool severe_faults = false;
     // A fleet of thousands: the limits of the state service and the cloud are enforced as a site
     // of that size has them, lists come in full pages, and the rules are looked at less often.
     bool large_fleet = false;
@@ -50,15 +50,15 @@
     config::Limits limits;
     // So many percent of the jobs are submitted with a mistake: they fail on every machine until
     // their users call them off.
-    unsigned mistaken_percent = 0;
+    unsigned failing_jobs_percent = 0;
     // A team without a guarantee hands in a giant array, one-task jobs by the dozen, and idle work.
-    bool guests = false;
+    bool guest_team = false;
 };
 
-class World : public WorkerHost {
+class SimulatedCluster : public WorkerHost {
   public:
-    explicit World(const Options& options);
-    ~World() override;
+    explicit SimulatedCluster(const ScenarioOptions& options);
+    ~SimulatedCluster() override;
 
     // Runs the troubles, then quiet until every job is over or the limit is reached.
     void run();
@@ -72,27 +72,33 @@
     // The state service refuses the node alone.
     void refuse(std::size_t node, Millis span);
     void refuse_leader(Millis span) { refuse(leader(), span); }
-    void state_outage(Millis span);
-    void state_slow(Millis span) { state_slow_until_ = clock_.now() + span; }
+    void kv_store_outage(Millis span);
+    void slow_kv_store(Millis span) { kv_store_slow_until_ = clock_.now() + span; }
     // CommandBatch to workers are held on the way.
-    void hold_commands(Millis span) { commands_held_until_ = clock_.now() + span; }
+    void delay_commands(Millis span) { commands_delayed_until_ = clock_.now() + span; }
     // That share of transactions gets no answer and is carried out 2 to 12 s later.
-    void late_writes(double share, Millis span) { late_writes_ = {share, clock_.now() + span}; }
+    void delay_transactions(double share, Millis span) {
+        delayed_transactions_ = {share, clock_.now() + span};
+    }
     // That share of transactions is carried out at once, and only the answer is lost.
-    void lost_write_answers(double share, Millis span) {
-        lost_write_answers_ = {share, clock_.now() + span};
+    void drop_transaction_responses(double share, Millis span) {
+        dropped_transaction_responses_ = {share, clock_.now() + span};
     }
     // Of that share of reports a copy arrives again at some node, up to three leases later.
-    void late_reports(double share, Millis span) { late_reports_ = {share, clock_.now() + span}; }
+    void duplicate_heartbeats(double share, Millis span) {
+        duplicated_heartbeats_ = {share, clock_.now() + span};
+    }
     // That share of the jobs that end is called off, asked about and submitted again at the moment
     // of the end.
-    void cancel_at_end(double share, Millis span) { cancel_at_end_ = {share, clock_.now() + span}; }
+    void cancel_on_completion(double share, Millis span) {
+        cancel_on_completion_ = {share, clock_.now() + span};
+    }
     // Users repeat submissions, cancel what is done, and send what cannot run or lacks a field.
-    void odd_requests(Millis span);
+    void inject_invalid_requests(Millis span);
     // The users of that many jobs under way call them off within a fifth of a second, at nodes that
     // do not lead.
     void cancel_running(std::size_t jobs);
-    enum class Unreached : std::uint8_t {
+    enum class WorkerFault : std::uint8_t {
         cut,           // nothing passes
         held,          // nothing passes, and what was sent arrives at the end
         unresponsive,  // reports arrive, answers and commands are lost
@@ -100,16 +106,16 @@
         hung
     };
     // So many percent of the machines.
-    void machines_unreached(Unreached how, unsigned percent, Millis span);
-    void machines_die(unsigned percent);
+    void inject_worker_fault(WorkerFault how, unsigned percent, Millis span);
+    void kill_machines(unsigned percent);
     // Machines rented from now on come up late, or never, that share of them; in the zone, or in
     // all.
-    void boot_trouble(double factor, double never, Millis span, const std::string& zone = {}) {
-        cloud_.set_boot_trouble({factor, never, zone, clock_.now() + span});
+    void inject_boot_fault(double factor, double never, Millis span, const std::string& zone = {}) {
+        cloud_.set_boot_fault({factor, never, zone, clock_.now() + span});
     }
     // The node's process stands still while its clock runs on.
-    void stand_still(std::size_t node, Millis span);
-    void all_stand_still(Millis span);
+    void stall_process(std::size_t node, Millis span);
+    void stall_all_processes(Millis span);
     // Users ask about their jobs so many times as often.
     void poll_storm(int factor, Millis span);
     void crash_node(std::size_t node, Millis down) { crash(node % nodes_.size(), down); }
@@ -129,35 +135,35 @@
     };
     void cut_node(std::size_t node, Lost lost, bool held, Millis span);
     // Some of all that, by chance.
-    void any_trouble();
+    void inject_random_fault();
     // Of late or missing machines, silent and stopped controllers, and masses of polls, one.
-    void any_bad_night();
+    void inject_random_compound_fault();
     // Starts later than a user was told that the job is cancelled.
     std::size_t starts_after_cancellation() const { return starts_after_cancellation_; }
     // Those that were not on their way to the machine when the user was told.
     std::size_t starts_long_after_cancellation() const { return starts_long_after_cancellation_; }
-    std::size_t cancelled_told() const;
+    std::size_t cancellations_seen() const;
     std::size_t nodes() const { return nodes_.size(); }
     // The node that leads, or the number of nodes if none does.
     std::size_t leader() const;
     bool leads(std::size_t node) const { return nodes_[node].core && nodes_[node].core->leads(); }
     std::size_t killed_by_lease() const;
-    const StateStandIn& state() const { return state_; }
+    const FakeKvStore& state() const { return state_; }
     double elapsed_s() const { return to_seconds(clock_.now() - Clock().now()); }
     // From submission to the first start of the largest job's tasks; none: not begun.
     std::optional<double> largest_began_s() const;
     // Machines that the service returned while tasks were on them.
     std::size_t returned_with_tasks() const { return returned_with_tasks_; }
-    const std::vector<std::string>& broken_rules() const { return broken_; }
-    std::string describe_broken() const;
-    std::size_t jobs_left() const;
-    bool all_jobs_over() const;
+    const std::vector<std::string>& violated_invariants() const { return violations_; }
+    std::string describe_violations() const;
+    std::size_t unfinished_jobs() const;
+    bool all_jobs_terminal() const;
     std::size_t tasks_started() const { return starts_; }
     std::size_t terms() const { return terms_; }
     // Of every call and answer that the controllers have emitted so far, in order. Two builds that
     // behave alike give the same one for a seed (tests/digest.cpp); log lines do not count.
     std::size_t digest() const { return digest_; }
-    std::string describe_left() const;
+    std::string describe_unfinished() const;
     // What the controllers have cost so far.
     struct Load {
         double processor_s = 0;  // in their own code
@@ -166,7 +172,7 @@
         std::size_t bytes = 0;  // of calls and answers
     };
     const Load& load() const { return load_; }
-    const CloudStandIn& cloud() const { return cloud_; }
+    const FakeCloud& cloud() const { return cloud_; }
     // The least part of any class's or team's jobs, not cancelled, that is done.
     double least_served() const;
     // Machines that the service has rented so far.
@@ -176,7 +182,7 @@
   private:
     // unresponsive: a machine's reports arrive, but no answer and no command reaches it.
     enum class Cut : std::uint8_t { none, drop, hold, unresponsive, mute };
-    struct Chance {
+    struct FaultWindow {
         double share = 0;
         Instant until{};
     };
@@ -191,7 +197,7 @@
         bool refused = false;  // by the state service alone
         bool old_version = false;
         Instant cut_until{};
-        Instant still_until{};  // it stands still, and its clock runs on
+        Instant stalled_until{};  // it stands still, and its clock runs on
         std::map<RequestId, std::function<void(const sansio::HttpResponse&)>> waiting;
     };
     struct User {
@@ -201,13 +207,13 @@
         bool accepted = false;
         bool abort_asked = false;
         std::optional<wire::JobPhase> final;
-        Instant told_cancelled_at = Instant::max();
+        Instant cancellation_seen_at = Instant::max();
         Instant last_answer{};
-        Instant final_told{};
+        Instant final_seen_at{};
         Instant began = Instant::max();
         std::set<std::uint32_t> completed;
         bool chained = false;
-        bool mistaken = false;
+        bool failing = false;
         Instant last_start{};
         Instant could_start_since = Instant::max();
     };
@@ -221,7 +227,7 @@
     void add_to_load(double processor_s, const sansio::Effects& effects);
     bool unconnected(const std::string& endpoint);
     void call(std::size_t node, sansio::HttpCall call);
-    void serve(std::size_t node, const sansio::HttpCall& call, StateStandIn::Reply reply);
+    void serve(std::size_t node, const sansio::HttpCall& call, FakeKvStore::Reply reply);
     void request(std::size_t node, controller::Listener plane, const std::string& method,
                  const std::string& target, const std::string& body,
                  std::function<void(const sansio::HttpResponse&)> then);
@@ -231,10 +237,10 @@
     // WorkerManager (WorkerHost).
     const wire::JobSpec* description(const JobId& id) override;
     Millis run_time(const TaskRef& task) override;
-    bool fails(const TaskRef& task) override { return users_.at(task.job).mistaken; }
+    bool fails(const TaskRef& task) override { return users_.at(task.job).failing; }
     void task_started(const HostName& host, const TaskRef& task) override;
     void task_completed(const TaskRef& task) override;
-    void send_checkin(const HostName& host, std::size_t node, const std::string& body) override;
+    void send_heartbeat(const HostName& host, std::size_t node, const std::string& body) override;
     std::size_t node_count() const override { return nodes_.size(); }
     std::size_t node_named(const std::string& name) const override;
 
@@ -254,7 +260,7 @@
     void poll(User& user);
     void abort(User& user);
     void abort_at(User& user, std::size_t node);
-    void told(User& user, const sansio::HttpResponse& answer);
+    void record_response(User& user, const sansio::HttpResponse& answer);
     void ask_again(User& user, std::size_t node, const std::string& method,
                    const std::string& target, const std::string& body, const char* when);
     void repeat_user(User& user, const std::string& target, const std::string& body);
@@ -262,19 +268,19 @@
 
     void plan_fault();
     struct Fault;
-    using FaultAction = std::function<void(World&, const Fault&)>;
+    using FaultAction = std::function<void(SimulatedCluster&, const Fault&)>;
     static FaultAction cut_node_from(bool state, bool nodes, bool workers);
     static std::vector<FaultAction> service_faults();
     static std::vector<FaultAction> machine_faults();
     static const std::vector<FaultAction>& faults();
-    WorkerStandIn* any_worker();
+    FakeWorker* any_worker();
     Millis short_restart();
-    void take_with_notice();
+    void preempt_with_notice();
     void restart_again_and_again(std::size_t node);
     void fault();
     void heal_at(Instant until, std::size_t node);
-    void plan_harsh();
-    void harsh_fault();
+    void plan_severe_faults();
+    void inject_severe_fault();
     void repeat_later(std::size_t node, const sansio::HttpCall& call);
     Millis state_delay();
     void step_once(Instant limit);
@@ -291,29 +297,29 @@
     };
     Usage usage();
     bool could_start(const User& user, Usage& usage);
-    static bool starts_by_and_by(const User& user);
-    bool strikes(const Chance& chance);
+    static bool starts_gradually(const User& user);
+    bool occurs(const FaultWindow& chance);
     Cut worker_cut(const HostName& host) const;
     void serve_late(const sansio::HttpCall& call);
-    void odd_request();
-    void meet_the_end(User& user);
+    void send_invalid_request();
+    void query_at_completion(User& user);
     void check_ledger();
     void broken(const std::string& rule, const std::string& detail);
 
-    Options options_;
+    ScenarioOptions options_;
     std::mt19937_64 rng_;
-    std::mt19937_64 harsh_rng_;  // its own, so that harsh days leave the others as they are
+    std::mt19937_64 severe_fault_rng_;  // its own, so that harsh days leave the others as they are
     Clock clock_;
     config::Config config_;
-    StateStandIn state_;
-    CloudStandIn cloud_;
+    FakeKvStore state_;
+    FakeCloud cloud_;
     std::vector<Node> nodes_;
-    std::map<HostName, std::unique_ptr<WorkerStandIn>> workers_;
+    std::map<HostName, std::unique_ptr<FakeWorker>> workers_;
     // WorkerManager that have started any task of the job: no other can have one.
     std::map<JobId, std::set<HostName>> started_on_;
     std::map<HostName, std::pair<Cut, Instant>> worker_cuts_;
     std::map<JobId, User> users_;
-    std::vector<std::string> broken_;
+    std::vector<std::string> violations_;
     std::uint64_t next_request_ = 0;
     std::uint64_t incarnations_ = 0;
     std::size_t starts_ = 0;
@@ -321,17 +327,17 @@
     std::size_t digest_ = 0;
     Load load_;
     std::size_t returned_with_tasks_ = 0;
-    double lost_answers_ = 0;
-    Instant troubles_end_{};
-    Instant commands_held_until_{};
-    Instant state_slow_until_{};
-    Chance late_writes_;
-    Chance lost_write_answers_;
-    Chance late_reports_;
-    Chance cancel_at_end_;
+    double lost_responses_ = 0;
+    Instant faults_end_{};
+    Instant commands_delayed_until_{};
+    Instant kv_store_slow_until_{};
+    FaultWindow delayed_transactions_;
+    FaultWindow dropped_transaction_responses_;
+    FaultWindow duplicated_heartbeats_;
+    FaultWindow cancel_on_completion_;
     std::size_t starts_after_cancellation_ = 0;
     std::size_t starts_long_after_cancellation_ = 0;
-    int odd_requests_ = 0;
+    int invalid_requests_ = 0;
     Instant next_waiting_check_{};
     Instant next_ledger_check_{};
     Instant next_check_{};
--- a/tests/sim/world_network.cpp
+++ b/tests/sim/simulated_network.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 
@@ -21,7 +21,7 @@
 
 // ---- controllers ----
 
-void World::boot(std::size_t i) {
+void SimulatedCluster::boot(std::size_t i) {
     auto config = config_;
     config.name = NodeName("node-" + std::to_string(i));
     config.known.clear();
@@ -42,7 +42,7 @@
     step(i);
 }
 
-void World::crash(std::size_t i, Millis down) {
+void SimulatedCluster::crash(std::size_t i, Millis down) {
     auto& node = nodes_[i];
     if (!node.core) return;
     node.core.reset();
@@ -53,7 +53,7 @@
     });
 }
 
-void World::command(std::size_t i, controller::Command c) {
+void SimulatedCluster::command(std::size_t i, controller::Command c) {
     auto& node = nodes_[i];
     if (!node.core) return;
     node.queue.push_back(std::move(c));
@@ -64,12 +64,12 @@
     });
 }
 
-void World::step(std::size_t i) {
+void SimulatedCluster::step(std::size_t i) {
     auto& node = nodes_[i];
     if (!node.core) return;
-    if (clock_.now() < node.still_until) {
+    if (clock_.now() < node.stalled_until) {
         node.step_planned = true;
-        clock_.at(node.still_until, [this, i, incarnation = node.incarnation] {
+        clock_.at(node.stalled_until, [this, i, incarnation = node.incarnation] {
             if (nodes_[i].incarnation == incarnation) step(i);
         });
         return;
@@ -108,7 +108,7 @@
     }
 }
 
-void World::add_to_load(double processor_s, const sansio::Effects& effects) {
+void SimulatedCluster::add_to_load(double processor_s, const sansio::Effects& effects) {
     ++load_.steps;
     load_.processor_s += processor_s;
     load_.longest_step_s = std::max(load_.longest_step_s, processor_s);
@@ -116,7 +116,7 @@
     for (const auto& answer : effects.answers) load_.bytes += answer.body.size();
 }
 
-void World::add_to_digest(std::size_t node, const sansio::Effects& effects) {
+void SimulatedCluster::add_to_digest(std::size_t node, const sansio::Effects& effects) {
     const auto add = [this](const auto& value) { boost::hash_combine(digest_, value); };
     for (const auto& call : effects.calls) {
         add(node);
@@ -136,22 +136,22 @@
     }
 }
 
-Millis World::latency() { return Millis(1 + static_cast<std::int64_t>(rng_() % 4)); }
+Millis SimulatedCluster::latency() { return Millis(1 + static_cast<std::int64_t>(rng_() % 4)); }
 
-World::Cut& World::cut_for(Node& node, Destination service) {
+SimulatedCluster::Cut& SimulatedCluster::cut_for(Node& node, Destination service) {
     if (service == Destination::worker) return node.from_workers;
     if (service == Destination::peer) return node.from_nodes;
     return node.from_state;
 }
 
 // The worker cannot be connected to now, as it is cut off; or, while answers get lost, by chance.
-bool World::unconnected(const std::string& endpoint) {
+bool SimulatedCluster::unconnected(const std::string& endpoint) {
     const auto how = worker_cut(HostName(endpoint.substr(std::string("worker:").size())));
-    return (how != Cut::none && how != Cut::mute) || (lost_answers_ > 0 && rng_() % 4 == 0) ||
-           (clock_.now() < commands_held_until_ && rng_() % 2 == 0);
+    return (how != Cut::none && how != Cut::mute) || (lost_responses_ > 0 && rng_() % 4 == 0) ||
+           (clock_.now() < commands_delayed_until_ && rng_() % 2 == 0);
 }
 
-void World::call(std::size_t i, HttpCall c) {
+void SimulatedCluster::call(std::size_t i, HttpCall c) {
     auto& node = nodes_[i];
     const auto incarnation = node.incarnation;
     const auto id = c.id;
@@ -170,7 +170,7 @@
     }
     clock_.after(c.timeout, [done] { done({HttpResult::kNoResponse, {}}); });
     const bool lose = c.service != Destination::peer &&
-                      std::uniform_real_distribution<>(0, 1)(rng_) < lost_answers_;
+                      std::uniform_real_distribution<>(0, 1)(rng_) < lost_responses_;
     const auto deliver = [this, i, c, done, lose] {
         repeat_later(i, c);
         const bool watch = c.target.starts_with("/watch");
@@ -184,9 +184,9 @@
         });
     };
     if (cut == Cut::drop) return;
-    if (c.service == Destination::worker && clock_.now() < commands_held_until_) {
+    if (c.service == Destination::worker && clock_.now() < commands_delayed_until_) {
         // Held on the way out only: check-ins and their answers go on meanwhile.
-        clock_.at(commands_held_until_ + latency(), deliver);
+        clock_.at(commands_delayed_until_ + latency(), deliver);
         return;
     }
     // Held messages are delivered when the interruption ends, however long ago they were given up.
@@ -196,25 +196,26 @@
 
 // A request that was carried out comes once more, by up to three leases later; nobody reads the
 // answer.
-void World::repeat_later(std::size_t i, const HttpCall& c) {
-    if (!options_.harsh || c.method != "POST" || harsh_rng_() % 30 != 0) return;
+void SimulatedCluster::repeat_later(std::size_t i, const HttpCall& c) {
+    if (!options_.severe_faults || c.method != "POST" || severe_fault_rng_() % 30 != 0) return;
     const auto span = static_cast<std::uint64_t>(config_.lease.count()) * 3;
-    clock_.after(Millis(5 + static_cast<std::int64_t>(harsh_rng_() % span)),
+    clock_.after(Millis(5 + static_cast<std::int64_t>(severe_fault_rng_() % span)),
                  [this, i, c] { serve(i, c, [](const HttpResult&) {}); });
 }
 
-Millis World::state_delay() {
-    if (clock_.now() >= state_slow_until_) return Millis(0);
-    return Millis(150 + static_cast<std::int64_t>(harsh_rng_() % (harsh_rng_() % 5 ? 400 : 3000)));
+Millis SimulatedCluster::state_delay() {
+    if (clock_.now() >= kv_store_slow_until_) return Millis(0);
+    return Millis(150 + static_cast<std::int64_t>(severe_fault_rng_() %
+                                                  (severe_fault_rng_() % 5 ? 400 : 3000)));
 }
 
-void World::serve(std::size_t i, const HttpCall& c, StateStandIn::Reply reply) {
+void SimulatedCluster::serve(std::size_t i, const HttpCall& c, FakeKvStore::Reply reply) {
     if (c.service == Destination::state) {
-        if (c.target == "/multi" && strikes(late_writes_)) {
+        if (c.target == "/multi" && occurs(delayed_transactions_)) {
             serve_late(c);
             return;
         }
-        if (c.target == "/multi" && strikes(lost_write_answers_)) {
+        if (c.target == "/multi" && occurs(dropped_transaction_responses_)) {
             state_.handle(c.method, c.target, c.body, [](const HttpResult&) {});
             return;
         }
@@ -249,9 +250,9 @@
     }
 }
 
-void World::request(std::size_t i, Listener plane, const std::string& method,
-                    const std::string& target, const std::string& body,
-                    std::function<void(const HttpResponse&)> then) {
+void SimulatedCluster::request(std::size_t i, Listener plane, const std::string& method,
+                               const std::string& target, const std::string& body,
+                               std::function<void(const HttpResponse&)> then) {
     auto& node = nodes_[i];
     if (!node.core) return;
     const RequestId id(++next_request_);
@@ -261,14 +262,15 @@
 
 // ---- workers ----
 
-std::size_t World::node_named(const std::string& name) const {
+std::size_t SimulatedCluster::node_named(const std::string& name) const {
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
         if (name == "node-" + std::to_string(i)) return i;
     }
     return nodes_.size();
 }
 
-void World::send_checkin(const HostName& host, std::size_t i, const std::string& body) {
+void SimulatedCluster::send_heartbeat(const HostName& host, std::size_t i,
+                                      const std::string& body) {
     const auto sequence = workers_.at(host)->sequence();
     const auto deliver = [this, host, i, body, sequence] {
         if (nodes_[i].from_workers != Cut::none) return;
@@ -280,7 +282,7 @@
                     const HttpResult reply{a.status, a.body};
                     clock_.after(latency(), [this, host, sequence, reply] {
                         const auto it = workers_.find(host);
-                        if (it != workers_.end()) it->second->checkin_answered(sequence, &reply);
+                        if (it != workers_.end()) it->second->heartbeat_answered(sequence, &reply);
                     });
                 });
     };
@@ -295,9 +297,9 @@
 
 // Now and then a copy of a report comes late, by seconds to well over a lease, at any node; the
 // machine may be gone by then, and the leader another. Nobody reads the answer.
-void World::copy_later(std::size_t i, const std::string& body) {
+void SimulatedCluster::copy_later(std::size_t i, const std::string& body) {
     const bool drawn = options_.fault_every_s > 0 && rng_() % 40 == 0;
-    if (!drawn && !strikes(late_reports_)) return;
+    if (!drawn && !occurs(duplicated_heartbeats_)) return;
     const auto span = static_cast<std::uint64_t>(config_.lease.count()) * 3;
     const auto to = rng_() % 2 ? i : rng_() % nodes_.size();
     clock_.after(Millis(500 + static_cast<std::int64_t>(rng_() % span)), [this, to, body] {
@@ -305,23 +307,23 @@
     });
 }
 
-const wire::JobSpec* World::description(const JobId& id) {
+const wire::JobSpec* SimulatedCluster::description(const JobId& id) {
     const auto it = users_.find(id);
     return it == users_.end() ? nullptr : &it->second.spec;
 }
 
-Millis World::run_time(const TaskRef& task) {
+Millis SimulatedCluster::run_time(const TaskRef& task) {
     const auto& user = users_.at(task.job);
     if (user.completed.contains(task.index)) return Millis(0);
     return from_seconds(user.spec.expected_s) * (50 + static_cast<std::int64_t>(rng_() % 100)) /
            100;
 }
 
-void World::task_completed(const TaskRef& task) {
+void SimulatedCluster::task_completed(const TaskRef& task) {
     auto& user = users_.at(task.job);
     user.completed.insert(task.index);
-    if (user.completed.size() == user.spec.task_count && strikes(cancel_at_end_))
-        meet_the_end(user);
+    if (user.completed.size() == user.spec.task_count && occurs(cancel_on_completion_))
+        query_at_completion(user);
 }
 
 }  // namespace dunebridge::sim
--- a/tests/sim/world_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -1,7 +1,7 @@
 // The users of the simulated world: what they submit, ask and cancel.
 #include <algorithm>
 
-#include "sim/world.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 
@@ -9,7 +9,7 @@
 using sansio::HttpResponse;
 using wire::JobPhase;
 
-void World::make_users(int jobs) {
+void SimulatedCluster::make_users(int jobs) {
     const std::vector<std::string> teams{"red", "blue", "free"};
     for (int n = 0; n < jobs; ++n) {
         User user;
@@ -35,7 +35,7 @@
             s.checkpoint_s = 2;
         }
         if (rng_() % 2 == 0) s.due_s = 60;
-        const auto span = static_cast<std::uint64_t>(options_.troubles_s * 800);
+        const auto span = static_cast<std::uint64_t>(options_.faults_s * 800);
         user.submit_at = clock_.now() + Millis(static_cast<std::int64_t>(rng_() % span));
         if (rng_() % 4 == 0) {
             user.abort_at = user.submit_at + Millis(static_cast<std::int64_t>(rng_() % 40000));
@@ -43,20 +43,20 @@
         users_.emplace(s.id, std::move(user));
     }
     make_pipelines();
-    if (options_.guests) make_guests();
-    if (options_.mistaken_percent > 0) make_mistakes();
+    if (options_.guest_team) make_guests();
+    if (options_.failing_jobs_percent > 0) make_mistakes();
     for (auto& [id, user] : users_) plan_user(user);
     clock_.after(Millis(5000), [this] { ask_unknown(); });
 }
 
-void World::make_pipelines() {
+void SimulatedCluster::make_pipelines() {
     std::vector<JobId> early;
     for (const auto& [id, user] : users_) early.push_back(id);
     const auto from = clock_.now() + from_seconds(options_.pipelines_after_s);
     const auto span =
-        static_cast<std::uint64_t>((options_.troubles_s - options_.pipelines_after_s) * 800);
+        static_cast<std::uint64_t>((options_.faults_s - options_.pipelines_after_s) * 800);
     for (int n = 0; n < options_.pipelines; ++n) {
-        const auto begin = from + Millis(static_cast<std::int64_t>(harsh_rng_() % span));
+        const auto begin = from + Millis(static_cast<std::int64_t>(severe_fault_rng_() % span));
         const auto add = [&](int stage, std::vector<JobId> dependencies) {
             User user;
             auto& s = user.spec;
@@ -64,7 +64,7 @@
             s.job_class = "chain";
             s.team = n % 2 ? "red" : "free";
             s.priority = stage == 3 ? wire::Priority::urgent : wire::Priority::idle;
-            s.task_count = static_cast<std::uint32_t>(1 + harsh_rng_() % 5);
+            s.task_count = static_cast<std::uint32_t>(1 + severe_fault_rng_() % 5);
             s.cores = 1;
             s.ram_gb = 1;
             s.image = "img-0";
@@ -75,16 +75,16 @@
             s.waits_on = std::move(dependencies);
             user.chained = true;
             // Some submit the last one only when the others are over.
-            user.submit_at = begin + Millis(stage == 3 && harsh_rng_() % 4 == 0 ? 60000 : 0);
-            if (harsh_rng_() % 8 == 0) {
+            user.submit_at = begin + Millis(stage == 3 && severe_fault_rng_() % 4 == 0 ? 60000 : 0);
+            if (severe_fault_rng_() % 8 == 0) {
                 user.abort_at =
-                    user.submit_at + Millis(static_cast<std::int64_t>(harsh_rng_() % 40000));
+                    user.submit_at + Millis(static_cast<std::int64_t>(severe_fault_rng_() % 40000));
             }
             return users_.emplace(s.id, std::move(user)).first->first;
         };
-        const auto first =
-            add(0, harsh_rng_() % 3 == 0 ? std::vector{early[harsh_rng_() % early.size()]}
-                                         : std::vector<JobId>{});
+        const auto first = add(0, severe_fault_rng_() % 3 == 0
+                                      ? std::vector{early[severe_fault_rng_() % early.size()]}
+                                      : std::vector<JobId>{});
         const auto left = add(1, {first});
         const auto right = add(2, {first});
         const auto last = add(3, {left, right});
@@ -99,7 +99,7 @@
 
 // A team that no setting guarantees anything: one giant array, a swarm of one-task jobs, and idle
 // work that saves its progress.
-void World::make_guests() {
+void SimulatedCluster::make_guests() {
     const auto add = [this](int number, Instant at, const char* job_class) -> wire::JobSpec& {
         User user;
         user.spec.id = JobId(fmt::format("req-8{:05}", number));
@@ -116,7 +116,7 @@
     };
     constexpr std::uint32_t giant_tasks = 3000;
     constexpr int swarm_jobs = 60;
-    const auto begin = clock_.now() + from_seconds(options_.troubles_s / 3);
+    const auto begin = clock_.now() + from_seconds(options_.faults_s / 3);
     auto& giant = add(0, begin, "giant");
     giant.task_count = giant_tasks;
     giant.expected_s = 4;
@@ -133,44 +133,45 @@
     backfill.checkpoint_s = 1;
 }
 
-void World::make_mistakes() {
+void SimulatedCluster::make_mistakes() {
     for (auto& [id, user] : users_) {
-        if (!user.spec.waits_on.empty() || harsh_rng_() % 100 >= options_.mistaken_percent)
+        if (!user.spec.waits_on.empty() ||
+            severe_fault_rng_() % 100 >= options_.failing_jobs_percent)
             continue;
-        user.mistaken = true;
+        user.failing = true;
         constexpr std::uint64_t spread_ms = 90000;
         user.abort_at = user.submit_at + Millis(60000) +
-                        Millis(static_cast<std::int64_t>(harsh_rng_() % spread_ms));
+                        Millis(static_cast<std::int64_t>(severe_fault_rng_() % spread_ms));
     }
 }
 
-bool World::dependencies_accepted(const User& user) const {
+bool SimulatedCluster::dependencies_accepted(const User& user) const {
     return std::all_of(user.spec.waits_on.begin(), user.spec.waits_on.end(),
                        [&](const JobId& id) { return users_.at(id).accepted; });
 }
 
-bool World::dependencies_done(const User& user) const {
+bool SimulatedCluster::dependencies_done(const User& user) const {
     return std::all_of(user.spec.waits_on.begin(), user.spec.waits_on.end(), [&](const JobId& id) {
         const auto& need = users_.at(id);
         return need.completed.size() == need.spec.task_count;
     });
 }
 
-Instant World::dependency_told_cancelled_at(const JobId& id) const {
+Instant SimulatedCluster::dependency_told_cancelled_at(const JobId& id) const {
     auto first = Instant::max();
     for (const auto& need : users_.at(id).spec.waits_on) {
         first = std::min(
-            {first, users_.at(need).told_cancelled_at, dependency_told_cancelled_at(need)});
+            {first, users_.at(need).cancellation_seen_at, dependency_told_cancelled_at(need)});
     }
     return first;
 }
 
-void World::plan_user(User& user) {
+void SimulatedCluster::plan_user(User& user) {
     clock_.at(user.submit_at, [this, &user] { submit(user); });
     if (user.abort_at < Instant::max()) clock_.at(user.abort_at, [this, &user] { abort(user); });
 }
 
-void World::make_flow() {
+void SimulatedCluster::make_flow() {
     const auto add = [this](int n, Instant at) -> wire::JobSpec& {
         User user;
         user.spec.id = JobId(fmt::format("req-{:06}", n));
@@ -182,7 +183,7 @@
     };
     // More than the fleet can ever do while it lasts.
     int n = 0;
-    for (auto at = clock_.now(); at < troubles_end_; at += Millis(1500)) {
+    for (auto at = clock_.now(); at < faults_end_; at += Millis(1500)) {
         auto& small = add(++n, at);
         small.job_class = "short";
         small.priority = wire::Priority::urgent;
@@ -202,7 +203,7 @@
     for (auto& [id, user] : users_) plan_user(user);
 }
 
-void World::submit(User& user) {
+void SimulatedCluster::submit(User& user) {
     if (user.accepted) return;
     if (!dependencies_accepted(user)) {
         clock_.after(Millis(300), [this, &user] { submit(user); });
@@ -217,10 +218,10 @@
                     broken("forgotten", user.spec.id.get() + " refused");
                 }
                 if (a.status != 200 && a.status != 201) return;
-                if (options_.harsh) repeat_user(user, "/v1/jobs", body);
+                if (options_.severe_faults) repeat_user(user, "/v1/jobs", body);
                 const bool first = !user.accepted;
                 user.accepted = true;
-                if (asked >= user.final_told) told(user, a);
+                if (asked >= user.final_seen_at) record_response(user, a);
                 if (first) poll(user);
             });
     clock_.after(Millis(1000 + static_cast<std::int64_t>(rng_() % 500)),
@@ -229,60 +230,61 @@
 
 // A submission or cancellation that was carried out comes again, at any node. What it is answered
 // must fit what the user was told.
-void World::repeat_user(User& user, const std::string& target, const std::string& body) {
-    if (harsh_rng_() % 4 != 0) return;
-    clock_.after(Millis(static_cast<std::int64_t>(harsh_rng_() % 60000)),
-                 [this, &user, target, body] {
-                     ask_again(user, harsh_rng_() % nodes_.size(), "POST", target, body, "repeat");
-                 });
+void SimulatedCluster::repeat_user(User& user, const std::string& target, const std::string& body) {
+    if (severe_fault_rng_() % 4 != 0) return;
+    clock_.after(Millis(static_cast<std::int64_t>(severe_fault_rng_() % 60000)), [this, &user,
+                                                                                  target, body] {
+        ask_again(user, severe_fault_rng_() % nodes_.size(), "POST", target, body, "repeat");
+    });
 }
 
 // Whatever is asked about an accepted job, it is known; an answer that was under way while the user
 // was told of the end may be the older one.
-void World::ask_again(User& user, std::size_t node, const std::string& method,
-                      const std::string& target, const std::string& body, const char* when) {
+void SimulatedCluster::ask_again(User& user, std::size_t node, const std::string& method,
+                                 const std::string& target, const std::string& body,
+                                 const char* when) {
     request(node, Listener::front, method, target, body,
             [this, &user, when, asked = clock_.now()](const HttpResponse& a) {
                 if (a.status == 404 || a.status == 400 || a.status == 422) {
                     broken("forgotten", fmt::format("{} ({})", user.spec.id.get(), when));
                 }
-                if (a.status == 200 && asked >= user.final_told) told(user, a);
+                if (a.status == 200 && asked >= user.final_seen_at) record_response(user, a);
             });
 }
 
-void World::poll(User& user) {
+void SimulatedCluster::poll(User& user) {
     // Also after the end: what was told must stay so, at every node.
     request(rng_() % nodes_.size(), Listener::front, "GET", "/v1/jobs/" + user.spec.id.get(), {},
             [this, &user, asked = clock_.now()](const HttpResponse& a) {
                 if (a.status == 404) broken("forgotten", user.spec.id.get());
                 // An answer under way while the user was told of the end may be the older one.
-                if (a.status == 200 && asked >= user.final_told) told(user, a);
+                if (a.status == 200 && asked >= user.final_seen_at) record_response(user, a);
             });
     const auto pause = user.final ? 20000 : 4000;
     clock_.after(Millis(pause + static_cast<std::int64_t>(rng_() % 1000)),
                  [this, &user] { poll(user); });
 }
 
-void World::abort(User& user) {
+void SimulatedCluster::abort(User& user) {
     if (user.final) return;
     if (user.accepted) abort_at(user, rng_() % nodes_.size());
     clock_.after(Millis(1500), [this, &user] { abort(user); });
 }
 
-void World::abort_at(User& user, std::size_t node) {
+void SimulatedCluster::abort_at(User& user, std::size_t node) {
     user.abort_asked = true;
     request(node, Listener::front, "POST", "/v1/jobs/" + user.spec.id.get() + "/abort", {},
             [this, &user](const HttpResponse& a) {
                 if (a.status == 404) broken("forgotten", user.spec.id.get() + " (abort)");
                 if (a.status != 200) return;
-                told(user, a);
-                if (options_.harsh) {
+                record_response(user, a);
+                if (options_.severe_faults) {
                     repeat_user(user, "/v1/jobs/" + user.spec.id.get() + "/abort", {});
                 }
             });
 }
 
-void World::told(User& user, const HttpResponse& a) {
+void SimulatedCluster::record_response(User& user, const HttpResponse& a) {
     user.last_answer = clock_.now();
     const auto doc = wire::Document::parse(a.body);
     const auto phase = doc->root()["phase"].need_text("phase");
@@ -290,28 +292,28 @@
     if (user.final && phase != wire::name_of(*user.final)) broken("went_back", id + " " + phase);
     if (phase == "done") {
         if (user.completed.size() < user.spec.task_count) broken("not_done", id);
-        if (!user.final) user.final_told = clock_.now();
+        if (!user.final) user.final_seen_at = clock_.now();
         user.final = JobPhase::done;
     } else if (phase == "withdrawn") {
         if (!user.abort_asked && dependency_told_cancelled_at(user.spec.id) == Instant::max() &&
             !dependency_abort_asked(user.spec.id)) {
             broken("went_back", id + " was not cancelled by its user");
         }
-        if (!user.final) user.final_told = user.told_cancelled_at = clock_.now();
+        if (!user.final) user.final_seen_at = user.cancellation_seen_at = clock_.now();
         user.final = JobPhase::cancelled;
     } else if (clock_.now() - dependency_told_cancelled_at(user.spec.id) > config_.cancel) {
         broken("orphaned", id + " is called " + phase);
     }
 }
 
-bool World::dependency_abort_asked(const JobId& id) const {
+bool SimulatedCluster::dependency_abort_asked(const JobId& id) const {
     const auto& dependencies = users_.at(id).spec.waits_on;
     return std::any_of(dependencies.begin(), dependencies.end(), [&](const JobId& need) {
         return users_.at(need).abort_asked || dependency_abort_asked(need);
     });
 }
 
-void World::ask_unknown() {
+void SimulatedCluster::ask_unknown() {
     request(rng_() % nodes_.size(), Listener::front, "GET", "/v1/jobs/req-999999999", {},
             [this](const HttpResponse& a) {
                 if (a.status == 200) broken("invented", "req-999999999");
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -2,30 +2,30 @@
 // checked after every step, and every job over some time after the last fault.
 #include <gtest/gtest.h>
 
-#include "sim/expect.hpp"
-#include "sim/world.hpp"
+#include "sim/expectations.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 namespace {
 
-void expect_good(World& world) {
+void expect_good(SimulatedCluster& world) {
     world.run();
-    expect_over(world);
+    expect_completed(world);
 }
 
 TEST(Simulation, QuietDay) {
-    Options options;
+    ScenarioOptions options;
     options.fault_every_s = 0;
-    World world(options);
+    SimulatedCluster world(options);
     expect_good(world);
     EXPECT_EQ(world.terms(), 1u);
 }
 
 // docs/incidents/0001: a new leader took machines it had not heard from yet for lost ones.
 TEST(Simulation, LeaderChangeKeepsTheFleet) {
-    Options options;
+    ScenarioOptions options;
     options.fault_every_s = 0;
-    World world(options);
+    SimulatedCluster world(options);
     for (int i = 0; i < 3; ++i) {
         world.run_for(Millis(60000));
         world.crash_leader();
@@ -38,11 +38,11 @@
 // A leader that loses the state service and the others, but not its workers, must not keep them:
 // they find the new leader before their leases end, and nothing late of the old one counts.
 TEST(Simulation, IsolatedLeaderLetsItsWorkersGo) {
-    Options options;
+    ScenarioOptions options;
     options.fault_every_s = 0;
-    options.troubles_s = 40;
+    options.faults_s = 40;
     options.task_s = 150;  // nothing to commit, which would tell the leader by itself
-    World world(options);
+    SimulatedCluster world(options);
     world.run_for(Millis(100000));
     const auto old = world.leader();
     world.isolate_leader(Millis(60000));
@@ -52,15 +52,15 @@
     world.run_for(Millis(36000));
     EXPECT_EQ(world.killed_by_lease(), 0u);
     world.run_for(Millis(60000));
-    EXPECT_TRUE(world.broken_rules().empty()) << world.describe_broken();
+    EXPECT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
     EXPECT_EQ(world.terms(), 2u);
 }
 
 // A leader that is back within a fraction of a second, also while another is being elected.
 TEST(Simulation, QuickRestartsKeepTheRules) {
-    Options options;
+    ScenarioOptions options;
     options.fault_every_s = 0;
-    World world(options);
+    SimulatedCluster world(options);
     world.run_for(Millis(40000));
     for (int i = 0; i < 12; ++i) {
         world.crash_leader(Millis(60 + 40 * i));
@@ -73,22 +73,22 @@
 // The state service refuses the leader alone, others confirm cancellations, and then it is down for
 // all for longer than `cancel_s`: the leader's workers go on reporting to it all the while.
 TEST(Simulation, CancellationsThatTheLeaderCannotReadAreKept) {
-    Options options;
+    ScenarioOptions options;
     options.fault_every_s = 0;
     options.task_s = 150;
-    options.troubles_s = 200;
-    World world(options);
+    options.faults_s = 200;
+    SimulatedCluster world(options);
     for (int round = 0; round < 2; ++round) {
         world.run_for(Millis(60000));
-        const auto told = world.cancelled_told();
+        const auto record_response = world.cancellations_seen();
         world.refuse_leader(Millis(14000));
         world.run_for(Millis(300));
         world.cancel_running(6);
         world.run_for(Millis(1700));
-        world.state_outage(Millis(60000));
+        world.kv_store_outage(Millis(60000));
         world.run_for(Millis(62000));
-        ASSERT_TRUE(world.broken_rules().empty()) << world.describe_broken();
-        EXPECT_GT(world.cancelled_told(), told);
+        ASSERT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
+        EXPECT_GT(world.cancellations_seen(), record_response);
     }
     // The peers answer for what they told: the outage costs no running task.
     EXPECT_EQ(world.killed_by_lease(), 0u);
@@ -97,14 +97,14 @@
 // A large job of lower priority begins within four minutes although small urgent ones would take
 // every core all the time: waiting work ages.
 TEST(Simulation, LargeJobBeginsUnderAFlowOfUrgentOnes) {
-    Options options;
+    ScenarioOptions options;
     options.fault_every_s = 0;
     options.urgent_flow = true;
-    options.troubles_s = 300;
+    options.faults_s = 300;
     options.machines = 2;
-    World world(options);
+    SimulatedCluster world(options);
     world.run_for(Millis(300000));
-    ASSERT_TRUE(world.broken_rules().empty()) << world.describe_broken();
+    ASSERT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
     ASSERT_TRUE(world.largest_began_s().has_value());
     EXPECT_LT(*world.largest_began_s(), 240);
 }
@@ -112,13 +112,13 @@
 // Ten times the fleet and the jobs: the state service's limits are enforced by the stand-in, and
 // the changes sent to it must not grow with tasks or machines.
 TEST(Simulation, TenTimesTheSize) {
-    Options options;
+    ScenarioOptions options;
     options.seed = 7;
     options.fault_every_s = 25;
     options.jobs = 240;
     options.machines = 90;
     options.most_tasks = 60;
-    World world(options);
+    SimulatedCluster world(options);
     expect_good(world);
     EXPECT_GT(world.tasks_started(), 4000u);
     EXPECT_EQ(world.state().violations(), 0u);
@@ -129,16 +129,16 @@
 // About the size of the largest fleet times 1.5, with the limits of the state service and the cloud
 // enforced, leader changes, and a third of the machines dying at once.
 TEST(Simulation, FleetOfTwoThousand) {
-    Options options;
+    ScenarioOptions options;
     options.seed = 11;
     options.large_fleet = true;
-    options.harsh = true;
+    options.severe_faults = true;
     options.fault_every_s = 30;
-    options.troubles_s = 120;
+    options.faults_s = 120;
     options.jobs = 520;
     options.machines = 2070;
     options.most_tasks = 250;
-    World world(options);
+    SimulatedCluster world(options);
     std::size_t most_up = 0;
     for (int i = 0; i < 20; ++i) {
         world.run_for(Millis(5000));
@@ -146,10 +146,10 @@
     }
     world.crash_leader();
     world.run();
-    EXPECT_TRUE(world.broken_rules().empty()) << world.describe_broken();
+    EXPECT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
     EXPECT_GT(most_up, 1000u);
     EXPECT_GT(world.terms(), 1u);
-    EXPECT_GE(world.least_served(), 0.5) << world.describe_left();
+    EXPECT_GE(world.least_served(), 0.5) << world.describe_unfinished();
     EXPECT_EQ(world.state().violations(), 0u);
     // A burst and a second's worth, whoever leads.
     EXPECT_LE(world.state().most_changes_in_a_second(), 140);
@@ -157,27 +157,27 @@
     EXPECT_LE(world.cloud().refusals(), 20u);
 }
 
-class Troubles : public testing::TestWithParam<std::uint64_t> {};
+class WorkerFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Troubles, RulesHoldAndJobsEnd) {
-    Options options;
+TEST_P(WorkerFaults, RulesHoldAndJobsEnd) {
+    ScenarioOptions options;
     options.seed = GetParam();
-    World world(options);
+    SimulatedCluster world(options);
     expect_good(world);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, Troubles, testing::Range<std::uint64_t>(1, 17));
+INSTANTIATE_TEST_SUITE_P(Seeds, WorkerFaults, testing::Range<std::uint64_t>(1, 17));
 
-class Overlapping : public testing::TestWithParam<std::uint64_t> {};
+class OverlappingFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Overlapping, RulesHoldAndJobsEnd) {
-    Options options;
+TEST_P(OverlappingFaults, RulesHoldAndJobsEnd) {
+    ScenarioOptions options;
     options.seed = GetParam();
     options.fault_every_s = 3;
     options.jobs = 40;
-    World world(options);
+    SimulatedCluster world(options);
     expect_good(world);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, Overlapping, testing::Range<std::uint64_t>(100, 116));
+INSTANTIATE_TEST_SUITE_P(Seeds, OverlappingFaults, testing::Range<std::uint64_t>(100, 116));
 
 // More jobs than the fleet can do, faults every two to eight seconds. These seeds broke rules once:
 // a start taken for unsent although its task was there (1004, 1216, 1511, 1607), and a new leader
@@ -186,35 +186,35 @@
 class Crowded : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(Crowded, RulesHold) {
-    Options options;
+    ScenarioOptions options;
     options.seed = GetParam();
     options.fault_every_s = options.seed % 3 == 0 ? 2 : options.seed % 3 == 1 ? 4 : 8;
     options.jobs = 30 + static_cast<int>(options.seed % 40);
     options.machines = 4 + options.seed % 12;
     options.most_tasks = options.seed % 4 == 0 ? 30 : 10;
-    World world(options);
+    SimulatedCluster world(options);
     world.run();
-    EXPECT_TRUE(world.broken_rules().empty()) << world.describe_broken();
+    EXPECT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
     EXPECT_GT(world.tasks_started(), 0u);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, Crowded, testing::Values(1004, 1036, 1216, 1421, 1511, 1607, 3222));
 
 // Troubles of the larger fleets, on top of the others.
-class Harsh : public testing::TestWithParam<std::uint64_t> {};
+class SevereFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Harsh, RulesHold) {
-    Options options;
-    options.harsh = true;
+TEST_P(SevereFaults, RulesHold) {
+    ScenarioOptions options;
+    options.severe_faults = true;
     options.seed = GetParam();
     options.fault_every_s = options.seed % 3 == 0 ? 3 : options.seed % 3 == 1 ? 6 : 12;
     options.jobs = 30 + static_cast<int>(options.seed % 40);
     options.machines = 4 + options.seed % 12;
-    World world(options);
+    SimulatedCluster world(options);
     world.run();
-    EXPECT_TRUE(world.broken_rules().empty()) << world.describe_broken();
+    EXPECT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
     EXPECT_GT(world.tasks_started(), 0u);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, Harsh, testing::Range<std::uint64_t>(5000, 5024));
+INSTANTIATE_TEST_SUITE_P(Seeds, SevereFaults, testing::Range<std::uint64_t>(5000, 5024));
 
 }  // namespace
 }  // namespace dunebridge::sim
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "sim/drawn.hpp"
+#include "sim/random_scenarios.hpp"
 
 int main(int argc, char** argv) {
     using namespace dunebridge::sim;
@@ -16,12 +16,13 @@
     std::uint64_t bad = 0;
     for (auto seed = from; seed < from + count; ++seed) {
         const bool night = seed % 2 == 1;
-        World world(night ? drawn_night_options(seed) : drawn_options(seed));
-        night ? run_drawn_night(world) : run_drawn(world, seed);
-        if (world.broken_rules().empty() && world.jobs_left() == 0) continue;
+        SimulatedCluster world(night ? random_compound_options(seed)
+                                     : random_scenario_options(seed));
+        night ? run_random_compound_scenario(world) : run_random_scenario(world, seed);
+        if (world.violated_invariants().empty() && world.unfinished_jobs() == 0) continue;
         ++bad;
         std::cout << "seed " << seed << "\n";
-        std::cout << world.describe_broken() << world.describe_left() << std::flush;
+        std::cout << world.describe_violations() << world.describe_unfinished() << std::flush;
     }
     std::cout << count << " seeds, " << bad << " bad\n";
     return bad == 0 ? 0 : 1;
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -4,20 +4,20 @@
 
 #include "kv/keys.hpp"
 #include "kv/records.hpp"
-#include "sim/expect.hpp"
-#include "sim/script.hpp"
-#include "sim/world.hpp"
+#include "sim/controller_harness.hpp"
+#include "sim/expectations.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 namespace {
 
 constexpr Millis kTroubled{90000};
 
-Options busy_day(std::uint64_t seed) {
-    Options options;
+ScenarioOptions busy_day(std::uint64_t seed) {
+    ScenarioOptions options;
     options.seed = seed;
     options.fault_every_s = 0;
-    options.troubles_s = 130;
+    options.faults_s = 130;
     options.jobs = 60;
     options.pipelines = 6;
     return options;
@@ -26,7 +26,7 @@
 // The leader's transaction with a job's end is lost, and a user's cancellation at another node
 // comes first: what is on record holds, also for the job that waits on it.
 TEST(LostTransaction, ThatSetsAnEndYieldsToACancellation) {
-    Script s(1);
+    ControllerHarness s(1);
     s.run(Millis(3000));
     const auto first = job(1);
     auto second = job(2);
@@ -50,36 +50,36 @@
     EXPECT_TRUE(s.recorded_on(second.id).empty());
 }
 
-class LostAnswers : public testing::TestWithParam<std::uint64_t> {};
+class LostResponses : public testing::TestWithParam<std::uint64_t> {};
 
 // The leader keeps its term while a share of the transactions has no answer in time.
-void expect_no_term_lost(std::uint64_t seed, void (World::*lose)(double, Millis)) {
-    World world(busy_day(seed));
+void expect_no_term_lost(std::uint64_t seed, void (SimulatedCluster::*lose)(double, Millis)) {
+    SimulatedCluster world(busy_day(seed));
     world.run_for(Millis(10000));
     const auto terms = world.terms();
     (world.*lose)(0.25, kTroubled);
     world.run_for(kTroubled);
     EXPECT_EQ(world.terms(), terms);
     world.run();
-    expect_over(world);
+    expect_completed(world);
 }
 
 // Before, each lost answer cost a term and a load of the ledger: one every three seconds.
-TEST_P(LostAnswers, OfTransactionsCarriedOutLateCostNoTerm) {
-    expect_no_term_lost(GetParam(), &World::late_writes);
+TEST_P(LostResponses, OfTransactionsCarriedOutLateCostNoTerm) {
+    expect_no_term_lost(GetParam(), &SimulatedCluster::delay_transactions);
 }
 
-TEST_P(LostAnswers, OfTransactionsCarriedOutAtOnceCostNoTerm) {
-    expect_no_term_lost(GetParam(), &World::lost_write_answers);
+TEST_P(LostResponses, OfTransactionsCarriedOutAtOnceCostNoTerm) {
+    expect_no_term_lost(GetParam(), &SimulatedCluster::drop_transaction_responses);
 }
 
 // Both kinds at once, while jobs are cancelled and leaders change.
-TEST_P(LostAnswers, AndCancellationsAndOtherLeaders) {
-    World world(busy_day(GetParam()));
+TEST_P(LostResponses, AndCancellationsAndOtherLeaders) {
+    SimulatedCluster world(busy_day(GetParam()));
     world.run_for(Millis(10000));
-    world.late_writes(0.3, kTroubled);
-    world.lost_write_answers(0.3, kTroubled);
-    world.cancel_at_end(0.5, kTroubled);
+    world.delay_transactions(0.3, kTroubled);
+    world.drop_transaction_responses(0.3, kTroubled);
+    world.cancel_on_completion(0.5, kTroubled);
     for (int n = 0; n < 6; ++n) {
         world.cancel_running(2);
         world.run_for(Millis(8000));
@@ -87,9 +87,9 @@
         world.run_for(Millis(5000));
     }
     world.run();
-    expect_over(world);
+    expect_completed(world);
 }
-INSTANTIATE_TEST_SUITE_P(Seeds, LostAnswers, testing::Range<std::uint64_t>(1, 7));
+INSTANTIATE_TEST_SUITE_P(Seeds, LostResponses, testing::Range<std::uint64_t>(1, 7));
 
 }  // namespace
 }  // namespace dunebridge::sim
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -5,21 +5,21 @@
 #include <tuple>
 
 #include "coordination/peer_monitor.hpp"
-#include "sim/expect.hpp"
-#include "sim/script.hpp"
-#include "sim/world.hpp"
+#include "sim/controller_harness.hpp"
+#include "sim/expectations.hpp"
+#include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 namespace {
 
 Millis s(double seconds) { return from_seconds(seconds); }
 
-Options large_jobs(std::uint64_t seed) {
-    Options o;
+ScenarioOptions large_jobs(std::uint64_t seed) {
+    ScenarioOptions o;
     o.seed = seed;
     o.fault_every_s = 0;
-    o.troubles_s = 200;
-    o.finish_s = 1500;
+    o.faults_s = 200;
+    o.drain_s = 1500;
     o.jobs = 40;
     o.machines = 60;
     o.most_tasks = 300;
@@ -30,9 +30,9 @@
     return o;
 }
 
-void expect_good(World& world) {
+void expect_good(SimulatedCluster& world) {
     world.run();
-    expect_over(world, 1000);
+    expect_completed(world, 1000);
 }
 
 // Written by the version in production (deploy/service.toml), for a job of three tasks: the first
@@ -139,7 +139,7 @@
 }
 
 config::Config with_a_peer_unheard() {
-    auto config = Script::config();
+    auto config = ControllerHarness::config();
     config.known.push_back({NodeName("node-1"), "a", "node-1"});
     return config;
 }
@@ -159,7 +159,7 @@
 }
 
 // The tasks of the one job that may run begin on a machine, and the first of them ends.
-void begin_tasks_and_end_first(Script& script) {
+void begin_tasks_and_end_first(ControllerHarness& script) {
     auto w = script.machine(0);
     w.report.token = script.checkin(w.next()).second.token;
     script.run(Millis(500));
@@ -178,7 +178,7 @@
     script.run(Millis(3000));
 }
 
-void run_three_tasks(Script& script) {
+void run_three_tasks(ControllerHarness& script) {
     script.run(Millis(3000));
     ASSERT_EQ(script.submit(job(1, 3)), 201);
     begin_tasks_and_end_first(script);
@@ -190,7 +190,7 @@
     for (const std::uint64_t format : {2, 3}) {
         auto config = with_a_peer_unheard();
         config.format = format;
-        Script script(1, config);
+        ControllerHarness script(1, config);
         run_three_tasks(script);
         for (const auto& [key, hex] : kProduction) {
             if (std::string(key).starts_with("job/")) continue;  // it holds the time of day
@@ -201,10 +201,10 @@
 
 // The same for what the first version with chains writes once its format is in force, as long as
 // some controller may still be of that version.
-TEST(FirstFormatWithChains, IsWrittenWhileItIsInForce) {
-    auto config = Script::config();
+TEST(FirstFormatWithDependencies, IsWrittenWhileItIsInForce) {
+    auto config = ControllerHarness::config();
     config.format = 3;
-    Script script(1, config);
+    ControllerHarness script(1, config);
     script.run(Millis(3000));
     ASSERT_EQ(script.submit(job(1, 3)), 201);
     auto second = job(2);
@@ -220,8 +220,8 @@
     }
 }
 
-TEST(FirstFormatWithChains, IsRead) {
-    Script script(1);
+TEST(FirstFormatWithDependencies, IsRead) {
+    ControllerHarness script(1);
     for (const auto& [key, hex] : kFirstWithChains) script.write(key, bytes(hex));
     script.run(Millis(6000));
     ASSERT_TRUE(script.leads());
@@ -266,7 +266,7 @@
 }
 
 TEST(ProductionFormat, IsRead) {
-    Script script(1);
+    ControllerHarness script(1);
     for (const auto& [key, hex] : kProduction) script.write(key, bytes(hex));
     script.run(Millis(6000));
     ASSERT_TRUE(script.leads());
@@ -278,9 +278,9 @@
 
 // After the switch the older version does not act on what it would misread.
 TEST(ProductionFormat, TheOlderVersionStopsAtTheMark) {
-    auto config = Script::config();
+    auto config = ControllerHarness::config();
     config.format = 2;
-    Script script(1, config);
+    ControllerHarness script(1, config);
     script.write(kv::kFormatMark, wire::Writer().map(1).text("v").count(3).take());
     for (const auto& [key, hex] : kProduction) script.write(key, bytes(hex));
     script.run(Millis(8000));
@@ -289,10 +289,10 @@
 }
 
 // What no longer fits a record is put off, and the rest of the job goes on.
-TEST(LimitsBeforeTheSwitch, AJobRunsAsManyTasksAsCanBeRecorded) {
+TEST(LimitsBeforeFormatSwitch, AJobRunsAsManyTasksAsCanBeRecorded) {
     auto config = with_a_peer_unheard();
     config.state = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 80, 1, 16});
-    Script script(1, config);
+    ControllerHarness script(1, config);
     script.run(Millis(3000));
     auto large = job(1, 256);
     large.cores = large.ram_gb = 0.05;
@@ -315,7 +315,7 @@
 // Processes are replaced one after the other while leaders come and go and jobs are cancelled; the
 // format changes once all have shown the new version, and then the limits fall.
 TEST_P(Upgrade, BothVersionsServeAndTheLimitsFall) {
-    World world(large_jobs(GetParam()));
+    SimulatedCluster world(large_jobs(GetParam()));
     world.run_for(s(50));
     for (std::size_t i = 0; i < world.nodes(); ++i) {
         world.upgrade((i + GetParam()) % world.nodes(), s(3));
@@ -337,7 +337,7 @@
     world.lower_limits();
     world.run_for(s(20));
     world.crash_leader(s(2));
-    world.late_writes(0.2, s(20));
+    world.delay_transactions(0.2, s(20));
     expect_good(world);
     // All values and transactions were within the smaller limits by then.
     EXPECT_EQ(world.state().violations(), 0u);
@@ -349,12 +349,12 @@
 struct RollOut {
     const char* name;
     // Ends with every controller upgraded.
-    void (*play)(World&);
+    void (*play)(SimulatedCluster&);
 };
 void PrintTo(const RollOut& rollout, std::ostream* out) { *out << rollout.name; }
 
 // One after the other, beginning with the node, a few seconds apart.
-void one_by_one(World& world, std::size_t first) {
+void one_by_one(SimulatedCluster& world, std::size_t first) {
     for (std::size_t i = 0; i < world.nodes(); ++i) {
         world.upgrade((first + i) % world.nodes(), s(3));
         world.run_for(s(8));
@@ -362,10 +362,10 @@
 }
 
 const RollOut kRollOuts[] = {
-    {"TheLeaderFirst", [](World& world) { one_by_one(world, world.leader()); }},
-    {"TheLeaderLast", [](World& world) { one_by_one(world, world.leader() + 1); }},
+    {"TheLeaderFirst", [](SimulatedCluster& world) { one_by_one(world, world.leader()); }},
+    {"TheLeaderLast", [](SimulatedCluster& world) { one_by_one(world, world.leader() + 1); }},
     {"TwoAtOnce",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          const auto leader = world.leader();
          world.upgrade(leader, s(3));
          world.upgrade((leader + 1) % world.nodes(), s(3));
@@ -373,11 +373,11 @@
          world.upgrade((leader + 2) % world.nodes(), s(3));
      }},
     {"AllAtOnce",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          for (std::size_t i = 0; i < world.nodes(); ++i) world.upgrade(i, s(2));
      }},
     {"OneDiesEarlyAndComesBackOld",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          const auto leader = world.leader();
          world.upgrade(leader, s(3));
          world.run_for(s(2));
@@ -387,7 +387,7 @@
          one_by_one(world, leader + 1);
      }},
     {"BackWithinAFractionOfASecondInMidElection",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          for (std::size_t i = 0; i < world.nodes(); ++i) {
              world.crash_leader(s(0.2));
              world.run_for(s(0.4));
@@ -398,10 +398,10 @@
          }
      }},
     {"AnOutageOfTheStateService",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          world.upgrade(0, s(3));
          world.run_for(s(5));
-         world.state_outage(s(30));
+         world.kv_store_outage(s(30));
          world.upgrade(1, s(3));
          world.cancel_running(2);
          world.run_for(s(10));
@@ -409,7 +409,7 @@
          world.run_for(s(25));
      }},
     {"TheLeaderRefused",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          const auto leader = world.leader();
          world.upgrade((leader + 1) % world.nodes(), s(3));
          world.run_for(s(5));
@@ -419,7 +419,7 @@
          one_by_one(world, leader + 2);
      }},
     {"AZoneCutOff",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          world.upgrade(0, s(3));
          world.run_for(s(5));
          world.cut_zone("a", 1, s(20));
@@ -428,25 +428,25 @@
          world.upgrade(1, s(3));
      }},
     {"TwoZonesApart",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          const auto leader = world.leader();
          world.upgrade((leader + 1) % world.nodes(), s(3));
          world.run_for(s(5));
          world.cut_node(leader, {false, true, false}, true, s(20));
-         world.machines_unreached(World::Unreached::held, 50, s(20));
+         world.inject_worker_fault(SimulatedCluster::WorkerFault::held, 50, s(20));
          world.run_for(s(8));
          one_by_one(world, leader + 2);
      }},
     {"LimitsFallBefore",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          world.lower_limits();
          one_by_one(world, 0);
      }},
     {"LimitsFallWithinWhileALeaderLoads",
-     [](World& world) {
+     [](SimulatedCluster& world) {
          world.upgrade(0, s(3));
          world.run_for(s(5));
-         world.late_writes(0.2, s(20));
+         world.delay_transactions(0.2, s(20));
          world.crash_leader(s(1));
          world.run_for(s(1.1));
          world.lower_limits();
@@ -454,15 +454,15 @@
      }},
 };
 
-class RollOuts : public testing::TestWithParam<std::tuple<RollOut, std::uint64_t, std::uint64_t>> {
+class Rollouts : public testing::TestWithParam<std::tuple<RollOut, std::uint64_t, std::uint64_t>> {
 };
 
-TEST_P(RollOuts, KeepTheRulesAndEndInTheNewestFormat) {
+TEST_P(Rollouts, KeepTheRulesAndEndInTheNewestFormat) {
     const auto& [rollout, old_format, seed] = GetParam();
     auto options = large_jobs(seed);
     options.old_format = old_format;
     options.fan_in = 20;
-    World world(options);
+    SimulatedCluster world(options);
     world.run_for(s(45));
     rollout.play(world);
     world.run_for(s(15));
@@ -470,7 +470,7 @@
     world.lower_limits();
     expect_good(world);
 }
-INSTANTIATE_TEST_SUITE_P(EveryOrder, RollOuts,
+INSTANTIATE_TEST_SUITE_P(EveryOrder, Rollouts,
                          testing::Combine(testing::ValuesIn(kRollOuts),
                                           testing::Values(config::kChunkFormat,
                                                           config::kRangeFormat),
@@ -482,8 +482,8 @@
 
 // One controller stays away, so that the older format stays in force when the limits fall: the
 // ledger goes on working, with what fits.
-TEST(LimitsBeforeTheSwitch, TheLedgerGoesOnWorking) {
-    World world(large_jobs(9));
+TEST(LimitsBeforeFormatSwitch, TheLedgerGoesOnWorking) {
+    SimulatedCluster world(large_jobs(9));
     world.run_for(s(40));
     world.upgrade(1, s(2));
     world.upgrade(2, s(2));
