--- a/src/api/ancestor_check.cpp
+++ b/src/api/ancestor_check.cpp
@@ -16,7 +16,7 @@
                              const config::Config& config, TokenBucket& reads, Done done)
     : context_(port), kv_client_(store), config_(config), reads_(reads), done_(std::move(done)) {}
 
-Millis AncestorCheck::fresh_for() const { return config_.cancel / kFreshPart; }
+Millis AncestorCheck::fresh_for() const { return config_.cancellation_deadline / kFreshPart; }
 
 bool AncestorCheck::fresh(const JobId& job) const {
     const auto it = none_ended_at_.find(job);
@@ -55,7 +55,7 @@
     const auto count = std::min(left.size(), kv_client_.max_preconditions());
     std::vector<wire::Precondition> preconditions;
     for (auto id = left.end() - static_cast<std::ptrdiff_t>(count); id != left.end(); ++id) {
-        preconditions.push_back({kv::terminal_key(*id), KeyRev()});
+        preconditions.push_back({kv::terminal_key(*id), KeyRevision()});
     }
     kv_client_.transact(
         preconditions, {}, kReadTimeout,
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -58,7 +58,7 @@
             ancestors.insert(ancestors.end(), job.ancestors.begin(), job.ancestors.end());
             if (job.dependency_parts > 0) lookup->with_parts.emplace_back(id);
         } catch (const wire::DecodeError& e) {
-            context_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"",
+            context_.log(sansio::LogLevel::error, "event=invalid_record key={} error=\"{}\"",
                          row->second.key, e.what());
             finish(lookup, Outcome::unavailable);
             return;
@@ -115,7 +115,7 @@
             ancestors.insert(ancestors.end(), jobs.begin(), jobs.end());
             read_parts(lookup);
         } catch (const wire::DecodeError& e) {
-            context_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"",
+            context_.log(sansio::LogLevel::error, "event=invalid_record key={} error=\"{}\"",
                          parts.rows.front().key, e.what());
             finish(lookup, Outcome::unavailable);
         }
--- a/src/api/job_cache.cpp
+++ b/src/api/job_cache.cpp
@@ -43,7 +43,7 @@
     ages_.pop_front();
 }
 
-void JobCache::set_record(const JobId& job, KeyRev record) { slot(job).entry.record = record; }
+void JobCache::set_record(const JobId& job, KeyRevision record) { slot(job).entry.record = record; }
 
 void JobCache::set_end(const JobId& job, const wire::JobStatus& end) {
     slot(job).entry.end = end;
--- a/src/api/job_cache.hpp
+++ b/src/api/job_cache.hpp
@@ -16,7 +16,7 @@
 class JobCache {
   public:
     struct Entry {
-        KeyRev record;  // revision of job/<id>; 0: no record
+        KeyRevision record;  // revision of job/<id>; 0: no record
         // What must be done before it, through other jobs too, and was not when last looked at.
         std::vector<JobId> ancestors;
         // How it ended, if answers may say so.
@@ -29,7 +29,7 @@
     const std::vector<JobId>& ancestors(const JobId& job) const;
 
     // Creates the entry if there is none.
-    void set_record(const JobId& job, KeyRev record);
+    void set_record(const JobId& job, KeyRevision record);
     void set_end(const JobId& job, const wire::JobStatus& end);
     // Those that are known to be done are left out.
     void set_ancestors(const JobId& job, std::vector<JobId> ancestors);
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -68,7 +68,7 @@
 
 void JobLookup::record_read(const JobId& job, const kv::GetResult& result) {
     if (!result.row) {
-        cache_.set_record(job, KeyRev());
+        cache_.set_record(job, KeyRevision());
         cache_.set_ancestors(job, {});
         finish(job, Kind::absent);
         return;
@@ -92,14 +92,14 @@
 void JobLookup::read_parts(const JobId& job, std::uint64_t expected) {
     kv_client_.list(kv::dependency_prefix(job), [this, job, expected](const kv::ListResult& parts) {
         if (!parts.answered || parts.rows.size() != expected) {
-            cache_.set_record(job, KeyRev());  // it is read again next time
+            cache_.set_record(job, KeyRevision());  // it is read again next time
             finish(job, Kind::unavailable);
             return;
         }
         try {
             cache_.set_ancestors(job, jobs_in_parts(parts.rows));
         } catch (const wire::DecodeError& e) {
-            cache_.set_record(job, KeyRev());
+            cache_.set_record(job, KeyRevision());
             bad_record(job, parts.rows.front().key, e.what());
             return;
         }
@@ -108,7 +108,7 @@
 }
 
 void JobLookup::bad_record(const JobId& job, const std::string& key, const char* error) {
-    context_.log(LogLevel::error, "event=bad_record key={} error=\"{}\"", key, error);
+    context_.log(LogLevel::error, "event=invalid_record key={} error=\"{}\"", key, error);
     finish(job, Kind::unavailable);
 }
 
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -31,8 +31,8 @@
 constexpr double kReadShareOfAll = 0.5;
 
 double reads_of_one_node(const config::Config& config) {
-    const auto nodes = static_cast<double>(config.known.size() + 1);
-    return kReadShareOfAll * config.state.rps() / nodes;
+    const auto nodes = static_cast<double>(config.peers.size() + 1);
+    return kReadShareOfAll * config.kv_limits.rps() / nodes;
 }
 }  // namespace
 
@@ -45,7 +45,7 @@
       types_(types),
       progress_source_(std::move(display)),
       broadcast_cancellation_(std::move(broadcast_cancellation)),
-      writes_(kWriteShare * config.state.write_rps()),
+      writes_(kWriteShare * config.kv_limits.write_rps()),
       reads_(reads_of_one_node(config)),
       lookup_(port, store, cache_),
       check_(port, store, config, reads_,
@@ -173,8 +173,8 @@
 void JobService::commit_cancellation(PendingRequest pending) {
     const auto* known = cache_.find(pending.job);
     const std::vector<wire::Precondition> preconditions{
-        {job_key(pending.job), known ? known->record : KeyRev()},
-        {terminal_key(pending.job), KeyRev()}};
+        {job_key(pending.job), known ? known->record : KeyRevision()},
+        {terminal_key(pending.job), KeyRevision()}};
     const std::vector<wire::Write> writes{
         {terminal_key(pending.job), cancelled_record(context_.wall_ms()), std::nullopt}};
     kv_client_.transact(
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -63,7 +63,7 @@
     void prepare(PendingRequest pending);
     void create_jobs();
     void jobs_created(std::vector<PendingRequest> batch, const kv::TransactionResult& result);
-    void answer_created(const PendingRequest& pending, KeyRev rev);
+    void answer_created(const PendingRequest& pending, KeyRevision rev);
     bool fits_transaction(const PendingRequest& pending, std::size_t preconditions,
                           std::size_t writes, std::size_t bytes) const;
 
--- a/src/api/linearizable_reads.cpp
+++ b/src/api/linearizable_reads.cpp
@@ -54,7 +54,7 @@
         to_confirm_.pop_front();
         if (asked.insert(pending.job).second) {
             const auto* known = cache_.find(pending.job);
-            preconditions.push_back({job_key(pending.job), known ? known->record : KeyRev()});
+            preconditions.push_back({job_key(pending.job), known ? known->record : KeyRevision()});
             require_no_ends(pending, required, preconditions);
         }
         batch.push_back(std::move(pending));
@@ -70,7 +70,7 @@
 
 void JobService::answer_confirmed(const PendingRequest& pending) {
     const auto* known = cache_.find(pending.job);
-    if (known && known->record != KeyRev()) {
+    if (known && known->record != KeyRevision()) {
         answer_open(pending);
     } else if (pending.intent == Intent::refuse) {
         context_.answer(pending.request, pending.refusal.status,
@@ -144,9 +144,9 @@
 void JobService::require_no_ends(const PendingRequest& pending, std::set<JobId>& required,
                                  std::vector<wire::Precondition>& preconditions) const {
     if (required.insert(pending.job).second)
-        preconditions.push_back({terminal_key(pending.job), KeyRev()});
+        preconditions.push_back({terminal_key(pending.job), KeyRevision()});
     for (const auto& id : required_ancestors(pending)) {
-        if (required.insert(id).second) preconditions.push_back({terminal_key(id), KeyRev()});
+        if (required.insert(id).second) preconditions.push_back({terminal_key(id), KeyRevision()});
     }
 }
 
--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -63,8 +63,8 @@
 bool SubmissionRecords::prepare_one_record(Submission& submission) const {
     const auto& record = submission.record;
     auto packed = encode(record);
-    if (packed.json_size > config_.state.value_bytes()) return false;
-    if (record.ancestors.size() + 2 > config_.state.max_preconditions()) return false;
+    if (packed.json_size > config_.kv_limits.value_bytes()) return false;
+    if (record.ancestors.size() + 2 > config_.kv_limits.max_preconditions()) return false;
     submission.writes.push_back({job_key(record.spec.id), std::move(packed.packed), std::nullopt});
     return true;
 }
@@ -79,8 +79,8 @@
     for (const auto& id : ancestors) {
         (std::binary_search(named.begin(), named.end(), id) ? direct : further).push_back(id);
     }
-    const auto most = config_.state.txn_ops() - 1;
-    const auto limit = config_.state.value_bytes();
+    const auto most = config_.kv_limits.txn_ops() - 1;
+    const auto limit = config_.kv_limits.value_bytes();
     auto parts = kv::encode_dependency_parts(direct, true, limit);
     if (parts.size() > most) return false;
     auto rest = kv::encode_dependency_parts(further, false, limit);
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -127,7 +127,7 @@
                                   std::size_t writes, std::size_t bytes) const {
     if (writes == 0) return true;  // whatever it takes, it was made to fit one alone
     return preconditions + preconditions_for(pending) <= kv_client_.max_preconditions() &&
-           writes + pending.submission.writes.size() <= config_.state.txn_ops() &&
+           writes + pending.submission.writes.size() <= config_.kv_limits.txn_ops() &&
            bytes + pending.submission.bytes <= kTransactionBytes;
 }
 
@@ -135,7 +135,7 @@
     while (!to_create_.empty() && creating_ < kMaxCreating) {
         std::size_t wanted = 0;
         for (const auto& pending : to_create_) wanted += pending.submission.writes.size();
-        const auto changes = static_cast<double>(std::min(wanted, config_.state.txn_ops()));
+        const auto changes = static_cast<double>(std::min(wanted, config_.kv_limits.txn_ops()));
         if (!writes_.take(changes, context_.now())) {
             context_.request_wake(writes_.ready_at(changes, context_.now()));
             return;
@@ -151,7 +151,7 @@
             auto pending = std::move(to_create_.front());
             to_create_.pop_front();
             if (asked.insert(pending.job).second) {
-                preconditions.push_back({job_key(pending.job), KeyRev()});
+                preconditions.push_back({job_key(pending.job), KeyRevision()});
                 require_no_ends(pending, required, preconditions);
                 bytes += pending.submission.bytes;
                 const auto& own = pending.submission.writes;
@@ -169,7 +169,7 @@
     }
 }
 
-void JobService::answer_created(const PendingRequest& pending, KeyRev rev) {
+void JobService::answer_created(const PendingRequest& pending, KeyRevision rev) {
     JobStatus status{pending.job, JobPhase::pending, 0, 0};
     if (pending.submission.cancelled) {
         // Accepted all the same; nothing of it is anywhere.
--- a/src/app/runtime.cpp
+++ b/src/app/runtime.cpp
@@ -49,11 +49,12 @@
                                      std::move(r.body), r.too_large});
         };
     };
-    const net::HttpServer::Limits front{sockets_.front, std::max(kIdleFront, config.report * 4)};
+    const net::HttpServer::Limits front{sockets_.front,
+                                        std::max(kIdleFront, config.heartbeat_interval * 4)};
     const net::HttpServer::Limits back{sockets_.back, kIdleFront};
     front_ = std::make_unique<net::HttpServer>(io_, config.public_addr, front, 0,
                                                take(controller::Listener::front));
-    back_ = std::make_unique<net::HttpServer>(io_, config.back_addr, back, kBackIds,
+    back_ = std::make_unique<net::HttpServer>(io_, config.peer_addr, back, kBackIds,
                                               take(controller::Listener::back));
 }
 
@@ -114,7 +115,8 @@
 // first, so that none of their senders counts as silent. Whoever led steps back before it acts
 // (LeadershipGuard::suspend_leadership_after_stall).
 void Runtime::catch_up(Millis late) {
-    spdlog::error("node={} event=stood_still for_s={:.1f}", config_.name.get(), to_seconds(late));
+    spdlog::error("node={} event=event_loop_stalled for_s={:.1f}", config_.name.get(),
+                  to_seconds(late));
     arm(now() + kCatchUp);
 }
 
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -93,7 +93,7 @@
 void read_cluster(const Table& cluster, config::Config& config) {
     constexpr double most = 1e6;
     config.zones = cluster.texts("zones");
-    config.skew = Millis(static_cast<std::int64_t>(cluster.number_or("skew_ms", 0, 0, most)));
+    config.clock_skew = Millis(static_cast<std::int64_t>(cluster.number_or("skew_ms", 0, 0, most)));
     for (const auto& t : cluster.list("teams")) {
         config.teams.push_back({t.text("name"), t.number_or("cpus", 0, 0, 1e9),
                                 t.number_or("gpus", 0, 0, 1e9), t.number_or("cpus_max", 0, 0, 1e9),
@@ -111,14 +111,14 @@
         config.objectives.push_back(std::move(objective));
     }
     const auto workers = cluster.sub("workers");
-    config.report = from_seconds(workers.number("report_s", 0.05, most));
-    config.lease = from_seconds(workers.number("lease_s", 0.1, most));
-    config.cancel = from_seconds(workers.number("cancel_s", 0.1, most));
+    config.heartbeat_interval = from_seconds(workers.number("report_s", 0.05, most));
+    config.worker_lease = from_seconds(workers.number("lease_s", 0.1, most));
+    config.cancellation_deadline = from_seconds(workers.number("cancel_s", 0.1, most));
     const auto service = cluster.sub("state");
-    const config::Limits::Set today{service.number("rps", 1, 1e7),
-                                    service.number("write_rps", 1, 1e7),
-                                    service.number("value_kb", 1, 1e6),
-                                    static_cast<std::size_t>(service.number("txn_ops", 4, 1e6))};
+    const config::KvLimits::Set today{service.number("rps", 1, 1e7),
+                                      service.number("write_rps", 1, 1e7),
+                                      service.number("value_kb", 1, 1e6),
+                                      static_cast<std::size_t>(service.number("txn_ops", 4, 1e6))};
     auto next = today;
     if (service.has("next")) {
         const auto n = service.sub("next");
@@ -128,10 +128,10 @@
                 static_cast<std::size_t>(
                     n.number_or("txn_ops", static_cast<double>(today.txn_ops), 4, 1e6))};
     }
-    config.state = config::Limits(today, next);
+    config.kv_limits = config::KvLimits(today, next);
     const auto cloud = cluster.sub("cloud");
     config.cloud_rps = cloud.number("rps", 0.01, 1e6);
-    config.list_lag = from_seconds(cloud.number("list_lag_s", 0, most));
+    config.machine_list_lag = from_seconds(cloud.number("list_lag_s", 0, most));
     const auto quota = cluster.sub("quota");
     config.cpu = quota.number("cpu", 0.001, 1024);
     config.memory_mb = quota.number("memory_mb", 16, 1e9);
@@ -150,12 +150,13 @@
     }
     const Table top(root, path, "");
     config::Config config;
-    config.name = NodeName(top.text("label"));
+    config.name = ControllerName(top.text("label"));
     config.zone = top.text("domain");
     config.public_addr = top.address("public_addr");
-    config.back_addr = top.address("back");
+    config.peer_addr = top.address("back");
     for (const auto& k : top.list("known")) {
-        config.known.push_back({NodeName(k.text("label")), k.text("domain"), k.address("addr")});
+        config.peers.push_back(
+            {ControllerName(k.text("label")), k.text("domain"), k.address("addr")});
     }
     const auto external = top.sub("external");
     config.cloud_addr = external.address("cloud");
--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -23,13 +23,13 @@
 };
 
 using JobId = Strong<struct JobIdTag, std::string>;
-using HostName = Strong<struct HostNameTag, std::string>;
-using NodeName = Strong<struct NodeNameTag, std::string>;
+using MachineName = Strong<struct MachineNameTag, std::string>;
+using ControllerName = Strong<struct ControllerNameTag, std::string>;
 
 using Term = Strong<struct TermTag, std::uint64_t>;
 using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;
 using Attempt = Strong<struct AttemptTag, std::uint64_t>;
-using KeyRev = Strong<struct KeyRevTag, std::uint64_t>;
+using KeyRevision = Strong<struct KeyRevisionTag, std::uint64_t>;
 using LeaseId = Strong<struct LeaseIdTag, std::uint64_t>;
 using CallId = Strong<struct CallIdTag, std::uint64_t>;
 using RequestId = Strong<struct RequestIdTag, std::uint64_t>;
@@ -51,7 +51,7 @@
 
 // The order of a worker's messages: the larger (session, sequence) is the newer one.
 struct HeartbeatSequence {
-    std::uint64_t session = 0;
+    std::uint64_t agent_epoch = 0;
     std::uint64_t sequence = 0;
     auto operator<=>(const HeartbeatSequence&) const = default;
 };
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -29,7 +29,7 @@
 };
 
 struct PeerAddress {
-    NodeName name;
+    ControllerName name;
     std::string zone;
     std::string back;  // address for the other controllers
 };
@@ -71,29 +71,29 @@
 };
 
 struct Config {
-    NodeName name;
+    ControllerName name;
     std::string zone;
     std::string public_addr;
-    std::string back_addr;
-    std::vector<PeerAddress> known;
+    std::string peer_addr;
+    std::vector<PeerAddress> peers;
     std::string cloud_addr;
     std::string state_addr;
 
     std::vector<std::string> zones;
-    Millis skew{0};
+    Millis clock_skew{0};
     std::vector<Team> teams;
     std::vector<ServiceLevelObjective> objectives;
 
-    Millis report{3000};
-    Millis lease{30000};
-    Millis cancel{60000};
+    Millis heartbeat_interval{3000};
+    Millis worker_lease{30000};
+    Millis cancellation_deadline{60000};
 
-    config::Limits state;
+    config::KvLimits kv_limits;
     // The newest format of the ledger that this node reads and writes.
-    std::uint64_t format = config::kNewestFormat;
+    std::uint64_t newest_record_format = config::kNewestFormat;
 
     double cloud_rps = 3;
-    Millis list_lag{8000};
+    Millis machine_list_lag{8000};
 
     double cpu = 1;
     double memory_mb = 200;
@@ -108,9 +108,10 @@
     Millis max_cancellation_staleness() const {
         constexpr double drift = 1.002;
         constexpr Millis margin{1000};
-        const Millis longest(static_cast<std::int64_t>(static_cast<double>(lease.count()) * drift));
+        const Millis longest(
+            static_cast<std::int64_t>(static_cast<double>(worker_lease.count()) * drift));
         // Settings that leave nothing rest on the peers' heartbeats, which come every second.
-        return std::max(cancel - longest - margin, kMinCancellationStaleness);
+        return std::max(cancellation_deadline - longest - margin, kMinCancellationStaleness);
     }
 
     // The team of that name, or null.
--- a/src/config/kv_limits.hpp
+++ b/src/config/kv_limits.hpp
@@ -9,7 +9,7 @@
 // The only place that knows both sets of limits. What can keep to the smaller of them at no cost
 // does so from the start: rates and the size of transactions. Values of the format that is in force
 // before all controllers know the new one may be as large as today's until the service refuses one.
-class Limits {
+class KvLimits {
   public:
     struct Set {
         double rps = 200;
@@ -18,9 +18,9 @@
         std::size_t txn_ops = 48;
     };
 
-    Limits() = default;
-    explicit Limits(const Set& today) : Limits(today, today) {}
-    Limits(const Set& today, const Set& next) : today_(today), next_(next) {}
+    KvLimits() = default;
+    explicit KvLimits(const Set& today) : KvLimits(today, today) {}
+    KvLimits(const Set& today, const Set& next) : today_(today), next_(next) {}
 
     double rps() const { return std::min(today_.rps, next_.rps); }
     double write_rps() const { return std::min(today_.write_rps, next_.write_rps); }
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -14,13 +14,13 @@
 
 // What is taken first of what has come together, the least first: what leases and leadership depend
 // on, then cancellations, submissions, and what is only asked.
-enum class Urgency : std::uint8_t { reply, peer, report, cancellation, submission, question };
+enum class Urgency : std::uint8_t { reply, peer, heartbeat, cancellation, submission, question };
 
 Urgency urgency_of(const Command& command) {
     const auto* request = std::get_if<Request>(&command);
     if (!request) return Urgency::reply;
     if (request->plane == Listener::back) return Urgency::peer;
-    if (request->target == "/checkin") return Urgency::report;
+    if (request->target == "/checkin") return Urgency::heartbeat;
     if (request->method != "POST") return Urgency::question;
     return request->target.ends_with("/abort") ? Urgency::cancellation : Urgency::submission;
 }
@@ -180,7 +180,8 @@
         peer_monitor_.record_heartbeat(coordination::decode_heartbeat(doc.root()));
         context_.answer(request.id, 200, coordination::encode(heartbeat()));
     } catch (const wire::DecodeError& e) {
-        context_.log(sansio::LogLevel::error, "event=bad_heartbeat error=\"{}\"", e.what());
+        context_.log(sansio::LogLevel::error, "event=invalid_peer_heartbeat error=\"{}\"",
+                     e.what());
         context_.answer(request.id, 400, wire::encode_error(e.what()));
     }
 }
@@ -193,9 +194,9 @@
     try {
         const auto doc = wire::Document::need(request.body);
         if (leads()) {
-            const auto report = wire::decode_worker_heartbeat(doc.root());
-            if (leadership_guard_.may_renew_leases(loader_.ends_read_at())) {
-                workers_.checkin(request.id, report);
+            const auto heartbeat = wire::decode_worker_heartbeat(doc.root());
+            if (leadership_guard_.may_renew_leases(loader_.terminal_records_read_at())) {
+                workers_.checkin(request.id, heartbeat);
             } else {
                 context_.answer(request.id, 503, wire::encode_error("cancellations not known"), 1);
             }
@@ -222,8 +223,8 @@
 
 // The peer that leads, empty if there is none or it is this node. One that has just been elected
 // says so only once it has read the ledger, and starts tasks in the next moment.
-NodeName Controller::leader_to_notify() const {
-    if (election_.is_leader()) return NodeName();
+ControllerName Controller::leader_to_notify() const {
+    if (election_.is_leader()) return ControllerName();
     const auto leader = peer_monitor_.leader();
     return leader.get().empty() ? election_.observed_leader() : leader;
 }
@@ -283,7 +284,7 @@
 
 // The newest format of the ledger that every controller has shown to know.
 std::uint64_t Controller::common_record_format() const {
-    auto format = config_.format;
+    auto format = config_.newest_record_format;
     while (format > config::kChunkFormat && !peer_monitor_.all_know(format)) --format;
     return format;
 }
@@ -296,12 +297,13 @@
     heartbeat.leads = leads();
     heartbeat.term = election_.is_leader() ? election_.term() : peer_monitor_.highest_term();
     heartbeat.state_reachable = kv_client_.reachable();
-    heartbeat.format = config_.format;
+    heartbeat.format = config_.newest_record_format;
     heartbeat.cancellations = cancellations_.kept();
     if (!heartbeat.leads) return heartbeat;
     own_faulty_jobs_ = faulty_jobs();
     // Written only once every controller knows this version.
-    if (common_record_format() == config_.format) heartbeat.faulty_jobs = own_faulty_jobs_;
+    if (common_record_format() == config_.newest_record_format)
+        heartbeat.faulty_jobs = own_faulty_jobs_;
     for (const auto& [id, job] : state_.jobs()) {
         if (job.state == state::JobState::active && (job.done > 0 || job.running > 0)) {
             heartbeat.progress.push_back({id, job.done, job.running});
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -66,7 +66,7 @@
     bool ready() const;
     void cancelled(const JobId& id);
     void cancel_in_state(const JobId& id);
-    NodeName leader_to_notify() const;
+    ControllerName leader_to_notify() const;
     void broadcast_cancellation(const JobId& id, std::function<void()> then);
     void complete_failover();
     void apply_cancellations();
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -21,13 +21,13 @@
       election_(election),
       peer_monitor_(peers) {}
 
-void HeartbeatRelay::handle(RequestId id, const std::string& body, wire::Value report) {
+void HeartbeatRelay::handle(RequestId id, const std::string& body, wire::Value heartbeat) {
     const auto leader = known_leader();
-    const bool relayed =
-        !leader.get().empty() && redirected_lately(HostName(report["host"].need_text("host")));
-    const auto node = std::find_if(config_.known.begin(), config_.known.end(),
+    const bool relayed = !leader.get().empty() &&
+                         redirected_lately(MachineName(heartbeat["host"].need_text("host")));
+    const auto node = std::find_if(config_.peers.begin(), config_.peers.end(),
                                    [&](const auto& known) { return known.name == leader; });
-    if (relayed && node != config_.known.end()) {
+    if (relayed && node != config_.peers.end()) {
         relay(id, body, *node);
     } else {
         redirect(id, leader);
@@ -35,13 +35,13 @@
 }
 
 // The leader to send workers to; never this node, and empty if none is known.
-NodeName HeartbeatRelay::known_leader() const {
+ControllerName HeartbeatRelay::known_leader() const {
     auto leader = peer_monitor_.leader();
     if (leader.get().empty() && kv_client_.reachable()) leader = election_.observed_leader();
-    return leader == config_.name ? NodeName() : leader;
+    return leader == config_.name ? ControllerName() : leader;
 }
 
-void HeartbeatRelay::redirect(RequestId id, const NodeName& leader) {
+void HeartbeatRelay::redirect(RequestId id, const ControllerName& leader) {
     if (election_.is_leader()) {  // its ledger is still being read
         context_.answer(id, 503, wire::encode_error("starting"), kRetryAfter_s);
     } else if (leader.get().empty()) {
@@ -51,7 +51,7 @@
     }
 }
 
-bool HeartbeatRelay::redirected_lately(const HostName& host) {
+bool HeartbeatRelay::redirected_lately(const MachineName& host) {
     if (context_.now() >= next_forget_) {
         next_forget_ = context_.now() + kForgetEvery;
         std::erase_if(redirected_,
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -22,12 +22,12 @@
                    const coordination::Election& election, const coordination::PeerMonitor& peers);
 
     // Throws wire::DecodeError if the report names no host.
-    void handle(RequestId id, const std::string& body, wire::Value report);
+    void handle(RequestId id, const std::string& body, wire::Value heartbeat);
 
   private:
-    NodeName known_leader() const;
-    bool redirected_lately(const HostName& host);
-    void redirect(RequestId id, const NodeName& leader);
+    ControllerName known_leader() const;
+    bool redirected_lately(const MachineName& host);
+    void redirect(RequestId id, const ControllerName& leader);
     void relay(RequestId id, const std::string& body, const config::PeerAddress& leader);
 
     sansio::Context& context_;
@@ -35,7 +35,7 @@
     const kv::KvClient& kv_client_;
     const coordination::Election& election_;
     const coordination::PeerMonitor& peer_monitor_;
-    std::map<HostName, Instant> redirected_;  // and when each was first
+    std::map<MachineName, Instant> redirected_;  // and when each was first
     Instant next_forget_{};
 };
 
--- a/src/controller/leadership_guard.hpp
+++ b/src/controller/leadership_guard.hpp
@@ -15,7 +15,7 @@
   public:
     LeadershipGuard(sansio::Context& port, const config::Config& config, const kv::KvClient& store,
                     coordination::Election& election, const coordination::PeerMonitor& peers,
-                    state::ClusterState& ledger);
+                    state::ClusterState& cluster_state);
 
     // Nothing is decided or answered as the leader after a stand-still of the process. Returns
     // whether there was one.
@@ -26,7 +26,7 @@
     void resign_if_no_worker_heartbeats();
     // Whether leases may be renewed by a node that knows all ends up to then from the state
     // service.
-    bool may_renew_leases(Instant ends_read_at);
+    bool may_renew_leases(Instant terminal_records_read_at);
 
   private:
     sansio::Context& context_;
--- a/src/coordination/cancellation_log.cpp
+++ b/src/coordination/cancellation_log.cpp
@@ -23,7 +23,7 @@
 
 const CancellationLogPart& CancellationLog::kept() {
     std::size_t over = part_.jobs.size() > kMaxKept ? part_.jobs.size() - kMaxKept : 0;
-    const auto keep = config_.cancel * 3 / 2;
+    const auto keep = config_.cancellation_deadline * 3 / 2;
     while (over < since_.size() && context_.now() - since_[over] > keep) ++over;
     const auto end = static_cast<std::ptrdiff_t>(over);
     part_.jobs.erase(part_.jobs.begin(), part_.jobs.begin() + end);
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -38,7 +38,8 @@
     } else if (!watching_) {
         watch();
     }
-    const bool vacant = observed_ && seen_rev_ == KeyRev() && !leader_ && now >= no_campaign_until_;
+    const bool vacant =
+        observed_ && seen_rev_ == KeyRevision() && !leader_ && now >= no_campaign_until_;
     if (!campaigning_ && (renew_term_ || (vacant && eligible_))) {
         if (now >= next_campaign_) {
             campaign();
@@ -94,11 +95,11 @@
     });
 }
 
-void Election::observe_leader_key(wire::Value value, KeyRev rev) {
+void Election::observe_leader_key(wire::Value value, KeyRevision rev) {
     // A read that was overtaken by this node's own later write says nothing new.
     if (leader_ && rev.get() <= leader_key_revision_.get()) return;
     seen_rev_ = rev;
-    observed_leader_ = NodeName(std::string(value["node"].text().value_or("")));
+    observed_leader_ = ControllerName(std::string(value["node"].text().value_or("")));
     seen_term_ = Term(value["term"].count().value_or(0));
     const bool own = value["incarnation"].text() == incarnation_;
     if (!own) {
@@ -119,7 +120,7 @@
     begin_term(seen_term_, rev);
 }
 
-void Election::begin_term(Term term, KeyRev rev) {
+void Election::begin_term(Term term, KeyRevision rev) {
     leader_key_revision_ = seen_rev_ = rev;
     term_ = seen_term_ = term;
     observed_leader_ = config_.name;
@@ -130,8 +131,8 @@
 }
 
 void Election::observe_no_leader() {
-    seen_rev_ = KeyRev();
-    observed_leader_ = NodeName();
+    seen_rev_ = KeyRevision();
+    observed_leader_ = ControllerName();
     renew_term_ = false;
     if (leader_) step_down("the leader key is gone");
     next_campaign_ = context_.now() + context_.jitter(Millis(60));
@@ -139,7 +140,7 @@
 
 void Election::campaign() {
     campaigning_ = true;
-    const KeyRev over = renew_term_ ? leader_key_revision_ : KeyRev();
+    const KeyRevision over = renew_term_ ? leader_key_revision_ : KeyRevision();
     if (lease_) {
         read_term(over);
         return;
@@ -157,7 +158,7 @@
         });
 }
 
-void Election::read_term(KeyRev over) {
+void Election::read_term(KeyRevision over) {
     kv_client_.get(kTermKey, kTimeout, [this, over](const kv::GetResult& result) {
         if (!result.answered) {
             campaigning_ = false;
@@ -170,7 +171,7 @@
     });
 }
 
-void Election::propose(TermRow last, KeyRev over) {
+void Election::propose(TermRow last, KeyRevision over) {
     const Term term(last.term.get() + 1);
     const std::vector<wire::Precondition> preconditions{{kLeaderKey, over}, {kTermKey, last.rev}};
     const std::vector<wire::Write> writes{
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -30,7 +30,7 @@
     std::uint64_t generation() const { return generation_; }
     wire::Precondition precondition() const { return {kLeaderKey, leader_key_revision_}; }
     // The leader as last seen in the state service, empty if none.
-    const NodeName& observed_leader() const { return observed_leader_; }
+    const ControllerName& observed_leader() const { return observed_leader_; }
 
     // Another node is known to lead with a later term.
     void depose(Term newer);
@@ -47,18 +47,18 @@
   private:
     struct TermRow {
         Term term;
-        KeyRev rev;
+        KeyRevision rev;
     };
 
     void observe();
     void watch();
-    void observe_leader_key(wire::Value value, KeyRev rev);
+    void observe_leader_key(wire::Value value, KeyRevision rev);
     void observe_no_leader();
     void campaign();
-    void read_term(KeyRev over);
-    void propose(TermRow last, KeyRev over);
+    void read_term(KeyRevision over);
+    void propose(TermRow last, KeyRevision over);
     void renew_lease();
-    void begin_term(Term term, KeyRev rev);
+    void begin_term(Term term, KeyRevision rev);
     void step_down(const char* why);
     std::string leader_value(Term term) const;
 
@@ -71,10 +71,10 @@
     bool eligible_ = true;
     std::uint64_t generation_ = 0;
     Term term_;
-    KeyRev leader_key_revision_;
-    NodeName observed_leader_;
+    KeyRevision leader_key_revision_;
+    ControllerName observed_leader_;
     Term seen_term_;
-    KeyRev seen_rev_;
+    KeyRevision seen_rev_;
     bool observed_ = false;  // the lead key's state is known and watched
 
     std::optional<LeaseId> lease_;
@@ -83,7 +83,7 @@
     bool campaigning_ = false;
     bool renewing_ = false;
     bool renew_term_ = false;
-    KeyRev watch_from_;
+    KeyRevision watch_from_;
     Instant next_read_{};
     Instant next_campaign_{};
     Instant next_renewal_{};
--- a/src/coordination/peer_heartbeat.cpp
+++ b/src/coordination/peer_heartbeat.cpp
@@ -44,7 +44,7 @@
     if (body["v"].need_count("v") != kVersion)
         throw wire::DecodeError(wire::DecodeProblem::unknown_version);
     Heartbeat heartbeat;
-    heartbeat.node = NodeName(body["node"].need_text("node"));
+    heartbeat.node = ControllerName(body["node"].need_text("node"));
     heartbeat.term = Term(body["term"].need_count("term"));
     heartbeat.leads = body["leads"].need_bool("leads");
     heartbeat.state_reachable = body["state"].need_bool("state");
--- a/src/coordination/peer_heartbeat.hpp
+++ b/src/coordination/peer_heartbeat.hpp
@@ -21,7 +21,7 @@
 
 // A controller's state, as it reports it.
 struct Heartbeat {
-    NodeName node;
+    ControllerName node;
     Term term;
     bool leads = false;
     bool state_reachable = false;
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -17,7 +17,7 @@
                          std::function<Heartbeat()> own,
                          std::function<void(const JobId&)> cancelled)
     : context_(port), config_(config), own_(std::move(own)), cancelled_(std::move(cancelled)) {
-    for (const auto& node : config_.known) peers_[node.name];
+    for (const auto& node : config_.peers) peers_[node.name];
 }
 
 bool PeerMonitor::recently_heard(const Peer& peer) const {
@@ -30,7 +30,7 @@
     if (context_.now() >= next_) {
         next_ = context_.now() + kEvery;
         const auto heartbeat = own_heartbeat();
-        for (const auto& node : config_.known) {
+        for (const auto& node : config_.peers) {
             auto& peer = peers_[node.name];
             if (peer.in_flight) continue;
             peer.in_flight = true;
@@ -40,8 +40,8 @@
     context_.request_wake(next_);
 }
 
-void PeerMonitor::send_heartbeat(const NodeName& peer, std::function<void()> then) {
-    for (const auto& node : config_.known) {
+void PeerMonitor::send_heartbeat(const ControllerName& peer, std::function<void()> then) {
+    for (const auto& node : config_.peers) {
         if (node.name != peer) continue;
         send(node, own_heartbeat(), kBroadcastTimeout, std::move(then));
         return;
@@ -59,7 +59,8 @@
                   });
 }
 
-void PeerMonitor::answered(const NodeName& name, const sansio::HttpResult& reply, Instant asked) {
+void PeerMonitor::answered(const ControllerName& name, const sansio::HttpResult& reply,
+                           Instant asked) {
     try {
         const auto doc = wire::Document::need(reply.body);
         const auto heartbeat = decode_heartbeat(doc.root());
@@ -67,7 +68,7 @@
             track_cancellation_log(peers_[name], heartbeat.cancellations, asked);
         record_heartbeat(heartbeat);
     } catch (const wire::DecodeError& e) {
-        context_.log(sansio::LogLevel::error, "event=bad_heartbeat from={} error=\"{}\"",
+        context_.log(sansio::LogLevel::error, "event=invalid_peer_heartbeat from={} error=\"{}\"",
                      name.get(), e.what());
     }
 }
@@ -116,12 +117,12 @@
     faulty_jobs_ = std::exchange(peer.heartbeat.faulty_jobs, {});
 }
 
-NodeName PeerMonitor::leader() const {
+ControllerName PeerMonitor::leader() const {
     for (const auto& [name, peer] : peers_) {
         if (recently_heard(peer) && peer.heartbeat.leads && peer.heartbeat.term == highest_term_)
             return name;
     }
-    return NodeName();
+    return ControllerName();
 }
 
 bool PeerMonitor::all_know(std::uint64_t format) const {
--- a/src/coordination/peer_monitor.hpp
+++ b/src/coordination/peer_monitor.hpp
@@ -28,13 +28,13 @@
     // Takes a peer's heartbeat. It may have been under way for long.
     void record_heartbeat(const Heartbeat& heartbeat);
     // Sends to one peer now, and goes on when it has answered or has not in time.
-    void send_heartbeat(const NodeName& peer, std::function<void()> then);
+    void send_heartbeat(const ControllerName& peer, std::function<void()> then);
     // Up to when this node knows of every cancellation that a peer has shown its users, for one
     // that has read all committed ends at the given moment; nothing while a peer does not answer.
     Instant acknowledged_until(Instant read) const;
 
     // The peer that leads by the latest heartbeats, empty if none.
-    NodeName leader() const;
+    ControllerName leader() const;
     // When the last heartbeat of any peer came.
     Instant last_heard() const { return last_heard_; }
     Term highest_term() const { return highest_term_; }
@@ -64,14 +64,14 @@
     std::string own_heartbeat();
     void send(const config::PeerAddress& node, const std::string& heartbeat, Millis timeout,
               std::function<void()> then);
-    void answered(const NodeName& name, const sansio::HttpResult& reply, Instant asked);
+    void answered(const ControllerName& name, const sansio::HttpResult& reply, Instant asked);
     void track_cancellation_log(Peer& peer, const CancellationLogPart& log, Instant asked);
 
     sansio::Context& context_;
     const config::Config& config_;
     std::function<Heartbeat()> own_;
     std::function<void(const JobId&)> cancelled_;
-    std::unordered_map<NodeName, Peer> peers_;
+    std::unordered_map<ControllerName, Peer> peers_;
     std::unordered_map<JobId, Progress> progress_;
     std::vector<JobId> faulty_jobs_;
     Term highest_term_;
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -25,7 +25,7 @@
 
 Row row_of(wire::Value row, const std::shared_ptr<Document>& document) {
     return {std::string(row["key"].text().value_or("")), document, row["value"],
-            KeyRev(row["key_rev"].count().value_or(0))};
+            KeyRevision(row["key_rev"].count().value_or(0))};
 }
 
 Outcome outcome_of(const HttpResult& reply, wire::Value body) {
@@ -51,7 +51,7 @@
     const auto body = doc ? doc->root() : wire::Value();
     TransactionResult result;
     result.outcome = outcome_of(reply, body);
-    result.rev = KeyRev(body["store_rev"].count().value_or(0));
+    result.rev = KeyRevision(body["store_rev"].count().value_or(0));
     const auto failed = body["failed"];
     for (std::size_t i = 0; i < failed.size(); ++i) {
         if (const auto key = failed.at(i).text()) result.failed.emplace_back(*key);
@@ -67,14 +67,14 @@
     const auto root = document->root();
     const auto rev = root["key_rev"].count();
     if (!rev) return {};
-    return {true, Row{key, document, root["value"], KeyRev(*rev)}};
+    return {true, Row{key, document, root["value"], KeyRevision(*rev)}};
 }
 
 Change read_change(wire::Value change) {
     const bool removed = change.contains("remove");
     const auto key = change[removed ? "remove" : "set"].text().value_or("");
     return {std::string(key), removed, change["value"],
-            KeyRev(change["key_rev"].count().value_or(0))};
+            KeyRevision(change["key_rev"].count().value_or(0))};
 }
 
 WatchResult read_changes(const HttpResult& reply) {
@@ -86,7 +86,7 @@
     const auto root = result.document->root();
     if (const auto rev = root["store_rev"].count()) {
         result.kind = WatchResult::Kind::changes;
-        result.rev = KeyRev(*rev);
+        result.rev = KeyRevision(*rev);
     }
     const auto changes = root["news"];
     for (std::size_t i = 0; i < changes.size(); ++i) {
@@ -119,7 +119,7 @@
                       reachable_ = good;
                       if (!good) {
                           context_.log(sansio::LogLevel::debug,
-                                       "event=state_failed status={} target={}", reply.status,
+                                       "event=kv_request_failed status={} target={}", reply.status,
                                        what);
                       }
                       then(reply);
@@ -254,7 +254,7 @@
              }
              const auto document = std::make_shared<Document>(std::move(*doc));
              const auto root = document->root();
-             if (first) so_far->rev = KeyRev(root["store_rev"].count().value_or(0));
+             if (first) so_far->rev = KeyRevision(root["store_rev"].count().value_or(0));
              const auto rows = root["rows"];
              for (std::size_t i = 0; i < rows.size(); ++i) {
                  so_far->rows.push_back(row_of(rows.at(i), document));
@@ -268,7 +268,7 @@
          });
 }
 
-void KvClient::watch(const std::string& prefix, KeyRev from, Millis wait,
+void KvClient::watch(const std::string& prefix, KeyRevision from, Millis wait,
                      std::function<void(const WatchResult&)> then) {
     const auto target = "/watch?starts=" + prefix + "&from=" + std::to_string(from.get()) +
                         "&wait_ms=" + std::to_string(wait.count());
--- a/src/kv/client.hpp
+++ b/src/kv/client.hpp
@@ -26,7 +26,7 @@
 
 struct TransactionResult {
     Outcome outcome = Outcome::unknown;
-    KeyRev rev;
+    KeyRevision rev;
     std::vector<std::string> failed;
 };
 
@@ -34,7 +34,7 @@
     std::string key;
     std::shared_ptr<wire::Document> document;  // keeps the value alive
     wire::Value value;
-    KeyRev rev;
+    KeyRevision rev;
 };
 
 struct GetResult {
@@ -51,7 +51,7 @@
 struct ListResult {
     bool answered = false;
     std::vector<Row> rows;
-    KeyRev rev;        // of the first page: watching from here misses nothing
+    KeyRevision rev;   // of the first page: watching from here misses nothing
     int refusals = 0;  // of pages, for the rate
 };
 
@@ -59,11 +59,11 @@
     std::string key;
     bool removed = false;
     wire::Value value;
-    KeyRev rev;
+    KeyRevision rev;
 };
 struct WatchResult {
     enum class Kind : std::uint8_t { changes, too_old, failed } kind = Kind::failed;
-    KeyRev rev;
+    KeyRevision rev;
     std::vector<Change> changes;
     std::shared_ptr<wire::Document> document;
 };
@@ -88,7 +88,7 @@
                   std::function<void(const RowsResult&)> then);
     // Reads a whole prefix, page after page.
     void list(const std::string& prefix, std::function<void(const ListResult&)> then);
-    void watch(const std::string& prefix, KeyRev from, Millis wait,
+    void watch(const std::string& prefix, KeyRevision from, Millis wait,
                std::function<void(const WatchResult&)> then);
     void create_lease(Millis ttl, std::function<void(std::optional<LeaseId>)> then);
     void renew_lease(LeaseId lease, std::function<void(LeaseRenewal)> then);
@@ -100,7 +100,7 @@
     // How long calls have gone without a good answer.
     Millis time_since_response() const;
 
-    std::size_t max_preconditions() const { return config_.state.max_preconditions(); }
+    std::size_t max_preconditions() const { return config_.kv_limits.max_preconditions(); }
 
   private:
     void call(std::string method, std::string target, std::string body, Millis timeout,
--- a/src/provisioning/boot_monitor.cpp
+++ b/src/provisioning/boot_monitor.cpp
@@ -72,69 +72,69 @@
     for (auto& [place, health] : places_) health.starting = 0;
     std::size_t fleet = 0;
     for (auto& [host, machine] : state_.machines()) {
-        if (machine.cloud.deleting) continue;
+        if (machine.instance.deleting) continue;
         ++fleet;
-        machine.worker.reported ? record_boot(machine) : check_overdue(machine);
+        machine.worker.heartbeat_received ? record_boot(machine) : check_overdue(machine);
     }
     auto left = std::max(kAlwaysReplaced,
                          static_cast<std::size_t>(kReplacedShare * static_cast<double>(fleet)));
     for (auto& [host, machine] : state_.machines()) {
-        auto& cloud = machine.cloud;
-        cloud.replaced = cloud.overdue && !cloud.deleting && left > 0;
-        if (cloud.replaced) --left;
+        auto& instance = machine.instance;
+        instance.replaced = instance.overdue && !instance.deleting && left > 0;
+        if (instance.replaced) --left;
     }
 }
 
 // Only of machines rented by this leader in this term is it known when they were.
 void BootMonitor::record_boot(Machine& machine) {
-    auto& cloud = machine.cloud;
-    if (!cloud.awaited && !cloud.overdue) return;
+    auto& instance = machine.instance;
+    if (!instance.boot_tracked && !instance.overdue) return;
     auto& health = places_[{machine.machine_type, machine.zone}];
-    const auto boot_s = to_seconds(context_.now() - cloud.provisioned_at);
-    if (cloud.awaited) health.estimate.observe(boot_s, nominal_s(machine));
-    cloud.awaited = cloud.overdue = false;
+    const auto boot_s = to_seconds(context_.now() - instance.provisioned_at);
+    if (instance.boot_tracked) health.estimate.observe(boot_s, nominal_s(machine));
+    instance.boot_tracked = instance.overdue = false;
     health.last_delivery = context_.now();
     if (health.failing) {
-        context_.log(LogLevel::info, "event=place_delivers type={} zone={}", machine.machine_type,
-                     machine.zone);
+        context_.log(LogLevel::info, "event=instance_pool_recovered type={} zone={}",
+                     machine.machine_type, machine.zone);
     }
     health.failing = false;
     health.pause = Millis(0);
 }
 
 void BootMonitor::check_overdue(Machine& machine) {
-    auto& cloud = machine.cloud;
-    if (!cloud.starting || cloud.overdue) return;
+    auto& instance = machine.instance;
+    if (!instance.starting || instance.overdue) return;
     auto& health = places_[{machine.machine_type, machine.zone}];
     const auto limit = from_seconds(health.estimate.limit_s(nominal_s(machine)));
-    if (context_.now() - cloud.provisioned_at <= limit) {
+    if (context_.now() - instance.provisioned_at <= limit) {
         ++health.starting;
         return;
     }
-    cloud.overdue = true;
+    instance.overdue = true;
     record_overdue(machine);
 }
 
 // The many machines of one request are overdue in the same moment: they count as one failure.
 void BootMonitor::record_overdue(const Machine& machine) {
-    context_.log(LogLevel::info, "event=machine_overdue host={} type={} zone={} after_s={:.0f}",
+    context_.log(LogLevel::info, "event=boot_overdue host={} type={} zone={} after_s={:.0f}",
                  machine.host.get(), machine.machine_type, machine.zone,
-                 to_seconds(context_.now() - machine.cloud.provisioned_at));
+                 to_seconds(context_.now() - machine.instance.provisioned_at));
     auto& health = places_[{machine.machine_type, machine.zone}];
-    if (health.last_delivery >= machine.cloud.provisioned_at) return;
+    if (health.last_delivery >= machine.instance.provisioned_at) return;
     health.failing = true;
     if (context_.now() < health.avoid_until) return;
     health.pause = std::clamp(health.pause * 2, kLeastPause, kMaxPause);
     health.avoid_until = context_.now() + health.pause;
 }
 
-bool BootMonitor::to_replace(const Machine& machine) const { return machine.cloud.replaced; }
+bool BootMonitor::to_replace(const Machine& machine) const { return machine.instance.replaced; }
 
 Millis BootMonitor::release_after(const Machine& machine) const {
     const double nominal = nominal_s(machine);
     const auto* health = find(machine);
     const auto most = from_seconds(kMostGiveUpBoots * nominal) + kGiveUpMargin;
-    const bool others_came = health && health->last_delivery >= machine.cloud.provisioned_at;
+    const bool others_came = health && health->last_delivery >= machine.instance.provisioned_at;
     if (!others_came) return most;
     const auto least = from_seconds(kLeastGiveUpBoots * nominal) + kGiveUpMargin;
     return std::clamp(from_seconds(health->estimate.limit_s(nominal)), least, most);
--- a/src/provisioning/boot_monitor.hpp
+++ b/src/provisioning/boot_monitor.hpp
@@ -33,8 +33,9 @@
 
 class BootMonitor {
   public:
-    BootMonitor(sansio::Context& port, state::ClusterState& ledger, const MachineTypeCatalog& types)
-        : context_(port), state_(ledger), types_(types) {}
+    BootMonitor(sansio::Context& port, state::ClusterState& cluster_state,
+                const MachineTypeCatalog& types)
+        : context_(port), state_(cluster_state), types_(types) {}
 
     // Another term begins: what was observed stays, what is under way is judged anew.
     void reset();
--- a/src/provisioning/cloud_client.cpp
+++ b/src/provisioning/cloud_client.cpp
@@ -45,7 +45,7 @@
     context_.call(
         Destination::cloud, {}, "GET", "/machine_types", {}, kTimeout,
         [this, then = std::move(then)](const HttpResult& reply) {
-            then(read_reply(context_, reply, "bad_machine_types", wire::decode_machine_types));
+            then(read_reply(context_, reply, "invalid_machine_types", wire::decode_machine_types));
         });
 }
 
@@ -53,10 +53,11 @@
                                 std::function<void(std::optional<wire::MachineListPage>)> then) {
     auto target = std::string("/rentals?page=500");
     if (!after.empty()) target += "&from=" + after;
-    context_.call(Destination::cloud, {}, "GET", std::move(target), {}, kTimeout,
-                  [this, then = std::move(then)](const HttpResult& reply) {
-                      then(read_reply(context_, reply, "bad_list", wire::decode_machine_list));
-                  });
+    context_.call(
+        Destination::cloud, {}, "GET", std::move(target), {}, kTimeout,
+        [this, then = std::move(then)](const HttpResult& reply) {
+            then(read_reply(context_, reply, "invalid_machine_list", wire::decode_machine_list));
+        });
 }
 
 void CloudClient::rent(const wire::ScaleOutRequest& request,
@@ -69,9 +70,9 @@
 ScaleOutResult CloudClient::read_rental(const HttpResult& reply) {
     using Outcome = ScaleOutResult::Outcome;
     if (reply.status == 200) {
-        auto hosts = read_reply(context_, reply, "bad_rental", wire::decode_hosts);
+        auto hosts = read_reply(context_, reply, "invalid_scale_out_response", wire::decode_hosts);
         // Machines that a bad answer does not name are found by their reports and the list.
-        return {Outcome::granted, hosts ? std::move(*hosts) : std::vector<HostName>()};
+        return {Outcome::granted, hosts ? std::move(*hosts) : std::vector<MachineName>()};
     }
     if (reply.status == 400) return {Outcome::invalid, {}};
     const auto doc = wire::Document::parse(reply.body);
@@ -80,7 +81,7 @@
     return {no_capacity ? Outcome::no_capacity : Outcome::unknown, {}};
 }
 
-void CloudClient::delete_machines(const std::vector<HostName>& hosts,
+void CloudClient::delete_machines(const std::vector<MachineName>& hosts,
                                   std::function<void(bool)> then) {
     context_.call(Destination::cloud, {}, "POST", "/rentals/delete", wire::encode_hosts(hosts),
                   kTimeout,
--- a/src/provisioning/cloud_client.hpp
+++ b/src/provisioning/cloud_client.hpp
@@ -22,7 +22,7 @@
         unknown       // it may have been granted: the request must be repeated
     };
     Outcome outcome = Outcome::unknown;
-    std::vector<HostName> hosts;
+    std::vector<MachineName> hosts;
 };
 
 class CloudClient {
@@ -41,7 +41,7 @@
     void rent(const wire::ScaleOutRequest& request,
               std::function<void(const ScaleOutResult&)> then);
     // True if the machines, and all that ran on them, are certainly gone.
-    void delete_machines(const std::vector<HostName>& hosts, std::function<void(bool)> then);
+    void delete_machines(const std::vector<MachineName>& hosts, std::function<void(bool)> then);
 
   private:
     ScaleOutResult read_rental(const sansio::HttpResult& reply);
--- a/src/provisioning/machine_inventory.cpp
+++ b/src/provisioning/machine_inventory.cpp
@@ -16,12 +16,12 @@
 }  // namespace
 
 MachineInventory::MachineInventory(sansio::Context& port, CloudClient& cloud,
-                                   state::ClusterState& ledger, workers::WorkerManager& workers,
-                                   const config::Config& config,
+                                   state::ClusterState& cluster_state,
+                                   workers::WorkerManager& workers, const config::Config& config,
                                    std::function<void(state::Machine&)> failed)
     : context_(port),
       cloud_(cloud),
-      state_(ledger),
+      state_(cluster_state),
       workers_(workers),
       config_(config),
       failed_(std::move(failed)) {}
@@ -77,30 +77,30 @@
     auto* machine = state_.find_machine(row.host);
     if (!machine) {
         machine = &state_.add_machine(row.host, row.machine_type, row.zone, row.spot);
-        context_.log(LogLevel::info, "event=machine_unexpected host={} phase={}", row.host.get(),
+        context_.log(LogLevel::info, "event=unrecorded_machine host={} phase={}", row.host.get(),
                      static_cast<int>(row.phase));
     }
-    auto& cloud = machine->cloud;
-    cloud.listed = true;
-    cloud.missed_listings = 0;
+    auto& instance = machine->instance;
+    instance.listed = true;
+    instance.missed_listings = 0;
     if (machine->machine_type.empty()) {
         state_.describe(*machine, row.machine_type, row.zone, row.spot);
     }
-    if (!machine->worker.reported) {
-        cloud.provisioned_at =
-            std::min(cloud.provisioned_at, context_.now() - from_seconds(row.held_s));
-        cloud.starting = row.phase == wire::MachinePhase::starting;
+    if (!machine->worker.heartbeat_received) {
+        instance.provisioned_at =
+            std::min(instance.provisioned_at, context_.now() - from_seconds(row.held_s));
+        instance.starting = row.phase == wire::MachinePhase::starting;
     }
-    if (row.phase != wire::MachinePhase::failed || cloud.failed) return;
+    if (row.phase != wire::MachinePhase::failed || instance.failed) return;
     // A failed machine has stopped: whatever was on it is gone.
-    cloud.failed = true;
+    instance.failed = true;
     while (!machine->tasks.empty()) state_.remove(*machine, machine->tasks.begin()->first);
     failed_(*machine);
 }
 
 void MachineInventory::count_missing() {
     for (auto& [host, machine] : state_.machines()) {
-        if (!seen_.contains(host)) ++machine.cloud.missed_listings;
+        if (!seen_.contains(host)) ++machine.instance.missed_listings;
     }
 }
 
--- a/src/provisioning/machine_inventory.hpp
+++ b/src/provisioning/machine_inventory.hpp
@@ -18,7 +18,7 @@
 class MachineInventory {
   public:
     // `failed` is called for machines that the cloud reports as failed, once each.
-    MachineInventory(sansio::Context& port, CloudClient& cloud, state::ClusterState& ledger,
+    MachineInventory(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
                      workers::WorkerManager& workers, const config::Config& config,
                      std::function<void(state::Machine&)> failed);
 
@@ -41,7 +41,7 @@
     std::function<void(state::Machine&)> failed_;
     bool reading_ = false;
     Instant next_{};
-    std::set<HostName> seen_;
+    std::set<MachineName> seen_;
     int pages_ = 0;
 };
 
--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -20,20 +20,20 @@
 }  // namespace
 
 Provisioner::Provisioner(sansio::Context& port, coordination::Election& election,
-                         state::ClusterState& ledger, workers::WorkerManager& workers,
+                         state::ClusterState& cluster_state, workers::WorkerManager& workers,
                          const config::Config& config)
     : context_(port),
       election_(election),
-      state_(ledger),
+      state_(cluster_state),
       workers_(workers),
       config_(config),
       cloud_(port, config.cloud_rps),
       types_(port, cloud_),
-      boot_monitor_(port, ledger, types_),
-      scale_in_(port, cloud_, ledger, workers, types_, boot_monitor_, config),
-      list_(port, cloud_, ledger, workers, config,
+      boot_monitor_(port, cluster_state, types_),
+      scale_in_(port, cloud_, cluster_state, workers, types_, boot_monitor_, config),
+      list_(port, cloud_, cluster_state, workers, config,
             [this](Machine& machine) { scale_in_.release(machine, ScaleInReason::failed); }),
-      scale_outs_(port, cloud_, election, ledger, workers, config) {}
+      scale_outs_(port, cloud_, election, cluster_state, workers, config) {}
 
 void Provisioner::reset() {
     list_.reset();
@@ -65,7 +65,8 @@
     return std::any_of(machines.begin(), machines.end(), [&](const auto& entry) {
         const Machine& machine = entry.second;
         const auto* type = types_.find(machine.machine_type);
-        const bool releasing = machine.cloud.deleting || machine.cordoned || machine.preemption_at;
+        const bool releasing =
+            machine.instance.deleting || machine.cordoned || machine.preemption_at;
         if (releasing || boot_monitor_.to_replace(machine) || !type) return false;
         if (machine.spot && !demand.spot_allowed) return false;
         if (!demand.zone.empty() && machine.zone != demand.zone) return false;
@@ -75,12 +76,12 @@
 
 Demand Provisioner::demand_of(const state::Job& job) const {
     Demand demand;
-    demand.need = job.need();
+    demand.need = job.task_resources();
     demand.spot_allowed = job.spec.spot_allowed;
     demand.machine_types = job.spec.machine_types;
     demand.zone = job.spec.zone.value_or("");
     demand.seconds = run_time_estimator_.expected_s(job);
-    demand.tasks = static_cast<double>(job.placeable());
+    demand.tasks = static_cast<double>(job.placeable_tasks());
     return demand;
 }
 
@@ -93,7 +94,7 @@
         room[team.name] = limited ? team.cpus_max - state_.use(team.name).cpus : kNoLimit;
     }
     for (const auto& [id, job] : state_.jobs()) {
-        if (job.state != JobState::active || job.waiting.empty() || job.waits()) continue;
+        if (job.state != JobState::active || job.waiting.empty() || job.is_blocked()) continue;
         auto demand = demand_of(job);
         const double cores = demand.need.cores;
         auto& left = room[job.spec.team];
@@ -125,10 +126,11 @@
     const auto* type = types_.find(machine.machine_type);
     const auto& worker = machine.worker;
     // Up long ago by the list, and yet without a report in this term: most likely gone.
-    const bool lost = !worker.reported && !machine.cloud.starting && workers_.late(machine);
-    const bool releasing = machine.cloud.deleting || machine.cordoned || machine.preemption_at ||
+    const bool lost =
+        !worker.heartbeat_received && !machine.instance.starting && workers_.late(machine);
+    const bool releasing = machine.instance.deleting || machine.cordoned || machine.preemption_at ||
                            boot_monitor_.to_replace(machine);
-    const bool idle = worker.reported && machine.tasks.empty();
+    const bool idle = worker.heartbeat_received && machine.tasks.empty();
     Capacity capacity;
     capacity.pool = {machine.machine_type, machine.zone, machine.spot};
     capacity.cores = type ? type->cores : 0;
@@ -171,11 +173,11 @@
     std::size_t index = 0;
     for (const auto& [host, machine] : state_.machines()) {
         const auto& capacity = input.machines[index++];
-        if (capacity.available && machine.worker.reported) up_cores += capacity.cores;
+        if (capacity.available && machine.worker.heartbeat_received) up_cores += capacity.cores;
     }
     context_.log(
         LogLevel::debug,
-        "event=sizing load={:.1f} placed={:.1f} target={:.1f} up={} machines={} waiting={}",
+        "event=scaling_plan load={:.1f} placed={:.1f} target={:.1f} up={} machines={} waiting={}",
         load_cores_, input.placed_cores, plan.target_cores, up_cores, input.machines.size(),
         input.demand.size());
 }
--- a/src/provisioning/provisioner.hpp
+++ b/src/provisioning/provisioner.hpp
@@ -25,7 +25,7 @@
 class Provisioner {
   public:
     Provisioner(sansio::Context& port, coordination::Election& election,
-                state::ClusterState& ledger, workers::WorkerManager& workers,
+                state::ClusterState& cluster_state, workers::WorkerManager& workers,
                 const config::Config& config);
 
     // On every node.
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -52,12 +52,12 @@
 }
 }  // namespace
 
-ScaleIn::ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& ledger,
+ScaleIn::ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
                  workers::WorkerManager& workers, const MachineTypeCatalog& types,
                  const BootMonitor& startups, const config::Config& config)
     : context_(port),
       cloud_(cloud),
-      state_(ledger),
+      state_(cluster_state),
       workers_(workers),
       types_(types),
       boot_monitor_(startups),
@@ -70,10 +70,10 @@
 }
 
 void ScaleIn::release(Machine& machine, ScaleInReason why) {
-    if (machine.cloud.deleting) return;
-    machine.cloud.deleting = true;
+    if (machine.instance.deleting) return;
+    machine.instance.deleting = true;
     released_.insert(machine.host);
-    context_.log(LogLevel::info, "event=machine_return host={} type={} tasks={} why={}",
+    context_.log(LogLevel::info, "event=scale_in host={} type={} tasks={} why={}",
                  machine.host.get(), machine.machine_type, machine.tasks.size(), name_of(why));
 }
 
@@ -91,7 +91,9 @@
     std::size_t up = 0;
     std::size_t silent = 0;
     for (const auto& [host, machine] : state_.machines()) {
-        if (machine.cloud.deleting || (!machine.worker.reported && machine.tasks.empty())) continue;
+        if (machine.instance.deleting ||
+            (!machine.worker.heartbeat_received && machine.tasks.empty()))
+            continue;
         ++up;
         if (workers_.late(machine)) ++silent;
     }
@@ -102,15 +104,16 @@
 // run on meanwhile; after some missed reports it is quicker to delete the machine, which proves the
 // tasks gone, than to wait for a long lease to end.
 Millis ScaleIn::patience() const {
-    return std::min(config_.lease + kSilentMargin,
-                    std::max(config_.report * kMissedHeartbeats, config_.lease * 6 / 10));
+    return std::min(
+        config_.worker_lease + kSilentMargin,
+        std::max(config_.heartbeat_interval * kMissedHeartbeats, config_.worker_lease * 6 / 10));
 }
 
 void ScaleIn::check_machine(Machine& machine) {
-    if (machine.cloud.deleting) return;
+    if (machine.instance.deleting) return;
     const auto* type = types_.find(machine.machine_type);
     if (type) machine.total = {type->cores, type->accelerators, type->ram_gb};
-    if (!machine.worker.reported) {
+    if (!machine.worker.heartbeat_received) {
         const auto why = release_reason_without_heartbeat(machine);
         if (why) release(machine, *why);
         return;
@@ -126,33 +129,35 @@
     const Machine& machine) const {
     const auto now = context_.now();
     // A new leader has reports only from its own term's start on.
-    const auto known = now - machine.worker.known_since;
-    const bool unlisted = machine.cloud.missed_listings >= kMissingLists;
+    const auto known = now - machine.worker.first_known_at;
+    const bool unlisted = machine.instance.missed_listings >= kMissingLists;
     if (!machine.tasks.empty()) {
         if (unlisted && known > patience()) return ScaleInReason::unlisted;
-        if (known <= (many_silent_ ? config_.lease * 2 : patience())) return std::nullopt;
+        if (known <= (many_silent_ ? config_.worker_lease * 2 : patience())) return std::nullopt;
         return ScaleInReason::unheard;
     }
     // Deleted by an earlier leader that did not see it confirmed: the machine list is late.
-    if (unlisted && known > config_.list_lag * 3 + kSilentMargin) return ScaleInReason::unlisted;
+    if (unlisted && known > config_.machine_list_lag * 3 + kSilentMargin)
+        return ScaleInReason::unlisted;
     if (known <= kUnreportedIdle) return std::nullopt;
-    if (!machine.cloud.starting) return ScaleInReason::unheard;
-    const bool stuck = now - machine.cloud.provisioned_at > boot_monitor_.release_after(machine);
+    if (!machine.instance.starting) return ScaleInReason::unheard;
+    const bool stuck = now - machine.instance.provisioned_at > boot_monitor_.release_after(machine);
     return stuck ? std::optional(ScaleInReason::stuck) : std::nullopt;
 }
 
 // Of a machine that has reported to this term's leader; none: it is kept.
 std::optional<ScaleInReason> ScaleIn::release_reason_with_heartbeat(const Machine& machine) const {
-    const bool missed_two = workers_.silent(machine, config_.report * 2);
+    const bool missed_two = workers_.silent(machine, config_.heartbeat_interval * 2);
     const bool taken = machine.preemption_at && context_.now() > *machine.preemption_at;
     if (taken && missed_two) return ScaleInReason::taken;
-    const bool unlisted = machine.cloud.listed && machine.cloud.missed_listings >= kMissingLists;
+    const bool unlisted =
+        machine.instance.listed && machine.instance.missed_listings >= kMissingLists;
     if (unlisted && missed_two) return ScaleInReason::unlisted;
     // No command reaches it, and its lease ends by itself.
     if (workers_.unresponsive_for(machine) > patience()) return ScaleInReason::unresponsive;
     // More likely this node's own trouble than that of so many machines at once.
-    if (many_silent_ && !workers_.silent(machine, config_.lease * 2)) return std::nullopt;
-    const auto limit = machine.tasks.empty() ? config_.lease : patience();
+    if (many_silent_ && !workers_.silent(machine, config_.worker_lease * 2)) return std::nullopt;
+    const auto limit = machine.tasks.empty() ? config_.worker_lease : patience();
     if (workers_.silent(machine, limit)) return ScaleInReason::silent;
     const bool drained = machine.cordoned && machine.tasks.empty();
     return drained ? std::optional(ScaleInReason::drained) : std::nullopt;
@@ -161,7 +166,7 @@
 // Tasks of cancelled jobs must be gone in time, whether the machine can be reached or not.
 bool ScaleIn::holds_cancelled_tasks_too_long(const Machine& machine) const {
     if (!tasks_of_ended_) return false;
-    const auto longest = config_.cancel * 2 / 5;
+    const auto longest = config_.cancellation_deadline * 2 / 5;
     return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
         const auto& job = *entry.second.job;
         return job.state == JobState::terminal && context_.now() - job.terminal_since > longest;
@@ -186,7 +191,7 @@
     if (released_.empty() || !cloud_.take_request()) return;
     const auto count = std::min(released_.size(), kMaxHostsPerDeletion);
     const auto last = std::next(released_.begin(), static_cast<std::ptrdiff_t>(count));
-    const std::vector<HostName> hosts(released_.begin(), last);
+    const std::vector<MachineName> hosts(released_.begin(), last);
     deleting_ = true;
     cloud_.delete_machines(hosts, [this, hosts, generation = state_.generation()](bool deleted) {
         if (!state_.usable_in(generation)) return;
--- a/src/provisioning/scale_in.hpp
+++ b/src/provisioning/scale_in.hpp
@@ -34,7 +34,7 @@
 
 class ScaleIn {
   public:
-    ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& ledger,
+    ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
             workers::WorkerManager& workers, const MachineTypeCatalog& types,
             const BootMonitor& startups, const config::Config& config);
 
@@ -63,7 +63,7 @@
     const MachineTypeCatalog& types_;
     const BootMonitor& boot_monitor_;
     const config::Config& config_;
-    std::set<HostName> released_;  // machines to be deleted
+    std::set<MachineName> released_;  // machines to be deleted
     bool deleting_ = false;
     Instant next_deletion_{};
     Instant next_check_{};
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -24,12 +24,12 @@
 }  // namespace
 
 ScaleOut::ScaleOut(sansio::Context& port, CloudClient& cloud, coordination::Election& election,
-                   state::ClusterState& ledger, workers::WorkerManager& workers,
+                   state::ClusterState& cluster_state, workers::WorkerManager& workers,
                    const config::Config& config)
     : context_(port),
       cloud_(cloud),
       election_(election),
-      state_(ledger),
+      state_(cluster_state),
       workers_(workers),
       config_(config) {}
 
@@ -40,7 +40,7 @@
 }
 
 void ScaleOut::request(const InstancePool& pool, std::size_t count) {
-    const auto limit = config_.state.value_bytes();
+    const auto limit = config_.kv_limits.value_bytes();
     const std::uint64_t fit = limit > 2 * kRecordBytes ? (limit - kRecordBytes) / kHostBytes : 1;
     const auto most = std::min(kMaxMachinesPerRequest, fit);
     const auto key = fmt::format("{}{}", key_prefix(), ++requests_);
@@ -109,7 +109,7 @@
     } else {
         refusals_.erase(pool);
     }
-    context_.log(LogLevel::info, "event=rented key={} type={} zone={} spot={} wanted={} got={}",
+    context_.log(LogLevel::info, "event=scale_out key={} type={} zone={} spot={} wanted={} got={}",
                  key, request.machine_type, request.zone, request.spot, request.how_many,
                  result.hosts.size());
     retry_at_.erase(key);
@@ -118,7 +118,7 @@
     state_.scale_out_answered(key, hosts);
     for (const auto& host : hosts) {
         auto* machine = state_.find_machine(host);
-        if (machine && asked_in_this_term(key)) machine->cloud.awaited = true;
+        if (machine && asked_in_this_term(key)) machine->instance.boot_tracked = true;
     }
 }
 
--- a/src/provisioning/scale_out.hpp
+++ b/src/provisioning/scale_out.hpp
@@ -21,7 +21,7 @@
 class ScaleOut {
   public:
     ScaleOut(sansio::Context& port, CloudClient& cloud, coordination::Election& election,
-             state::ClusterState& ledger, workers::WorkerManager& workers,
+             state::ClusterState& cluster_state, workers::WorkerManager& workers,
              const config::Config& config);
 
     // Another term begins.
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -18,9 +18,9 @@
 constexpr Millis kAged{90000};
 }  // namespace
 
-PendingQueue::PendingQueue(sansio::Context& port, state::ClusterState& ledger,
+PendingQueue::PendingQueue(sansio::Context& port, state::ClusterState& cluster_state,
                            const state::RunTimeEstimator& run_times, const config::Config& config)
-    : context_(port), state_(ledger), run_time_estimator_(run_times), config_(config) {
+    : context_(port), state_(cluster_state), run_time_estimator_(run_times), config_(config) {
     const auto lower = [](std::optional<double>& least_s, double within_s) {
         least_s = std::min(least_s.value_or(within_s), within_s);
     };
@@ -40,13 +40,13 @@
 std::vector<PendingJob> PendingQueue::jobs() {
     std::vector<PendingJob> out;
     for (auto& [id, job] : state_.jobs()) {
-        if (job.state != JobState::active || job.waiting.empty() || job.waits()) continue;
+        if (job.state != JobState::active || job.waiting.empty() || job.is_blocked()) continue;
         if (context_.now() < job.backoff_until) {
             context_.request_wake(job.backoff_until);
             continue;
         }
-        const bool aged =
-            !job.has_started() && !job.failures.faulty && context_.now() - job.ready_at > kAged;
+        const bool aged = !job.has_started() && !job.failures.faulty &&
+                          context_.now() - job.runnable_since > kAged;
         out.push_back({&job, false, aged, due(job), {}});
     }
     if (out.empty()) return out;
@@ -65,10 +65,10 @@
 std::vector<const Job*> PendingQueue::open_jobs() const {
     std::vector<const Job*> open;
     for (const auto& [id, job] : state_.jobs()) {
-        if (job.state == JobState::active && !job.waits()) open.push_back(&job);
+        if (job.state == JobState::active && !job.is_blocked()) open.push_back(&job);
     }
     std::sort(open.begin(), open.end(), [](const Job* a, const Job* b) {
-        return std::tie(a->ready_at, a->sequence) < std::tie(b->ready_at, b->sequence);
+        return std::tie(a->runnable_since, a->sequence) < std::tie(b->runnable_since, b->sequence);
     });
     return open;
 }
@@ -106,7 +106,7 @@
 
 Instant PendingQueue::due(const Job& job) const {
     const double within_s = std::min(kNoDeadline_s, aims(job).finished_s.value_or(kNoDeadline_s));
-    return std::min(job.ready_at + from_seconds(within_s), job.latest_end);
+    return std::min(job.runnable_since + from_seconds(within_s), job.latest_end);
 }
 
 Instant PendingQueue::latest_start(const PendingJob& waiting) const {
@@ -118,7 +118,7 @@
     const double run_s = std::max(run_time_estimator_.expected_s(job), job.spec.expected_s) *
                          state::kRunTimeUncertainty;
     const auto wait_s = std::max(0.0, within_s - fetch_s - kStop_s);
-    const auto latest = job.ready_at + from_seconds(wait_s);
+    const auto latest = job.runnable_since + from_seconds(wait_s);
     if (job.latest_end == Instant::max()) return latest;
     return std::min(latest, due(job) - from_seconds(run_s + fetch_s + kStop_s));
 }
--- a/src/scheduler/pending_queue.hpp
+++ b/src/scheduler/pending_queue.hpp
@@ -29,7 +29,7 @@
 
 class PendingQueue {
   public:
-    PendingQueue(sansio::Context& port, state::ClusterState& ledger,
+    PendingQueue(sansio::Context& port, state::ClusterState& cluster_state,
                  const state::RunTimeEstimator& run_times, const config::Config& config);
 
     // The jobs with tasks that may be placed now, in order.
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -23,15 +23,15 @@
 
 }  // namespace
 
-Scheduler::Scheduler(sansio::Context& port, state::ClusterState& ledger,
+Scheduler::Scheduler(sansio::Context& port, state::ClusterState& cluster_state,
                      workers::WorkerManager& workers, const state::RunTimeEstimator& run_times,
                      const config::Config& config)
     : context_(port),
-      state_(ledger),
+      state_(cluster_state),
       workers_(workers),
       run_time_estimator_(run_times),
       config_(config),
-      pending_queue_(port, ledger, run_times, config) {}
+      pending_queue_(port, cluster_state, run_times, config) {}
 
 std::size_t Scheduler::run() {
     const auto waiting = pending_queue_.jobs();
@@ -104,7 +104,7 @@
     const auto* team = config_.find_team(job.spec.team);
     if (!team) return 0;
     const auto& use = state_.use(job.spec.team);
-    std::size_t left = job.placeable();
+    std::size_t left = job.placeable_tasks();
     const auto limit = [&](double most, double used, double each) {
         if (most <= 0 || each <= 0) return;
         const double n = std::max(0.0, (most - used) / each + 1e-9);
@@ -143,7 +143,7 @@
     const bool alone = spec.together || spec.apart;
     const auto kind = shape_of(job);
     if (!alone && nowhere_.contains(kind)) return 0;
-    const auto need = job.need();
+    const auto need = job.task_resources();
     std::size_t placed = 0;
     const auto order = best_fit(
         capacities_, need, [&](std::size_t i) { return allowed(job, *machines_[i]); },
@@ -199,7 +199,8 @@
         if (context_.now() - machine.reserved_since < kKeptMost + kOpenAfter &&
             machine.reserved_since != Instant{})
             continue;
-        if (!machine.total.holds(job.need()) || !workers_.usable(machine) || !allowed(job, machine))
+        if (!machine.total.holds(job.task_resources()) || !workers_.usable(machine) ||
+            !allowed(job, machine))
             continue;
         // The share of the machine that must still end, weighed by how soon that begins.
         const double until =
@@ -239,7 +240,7 @@
 void Scheduler::preempt_for(const Job& job, std::size_t tasks) {
     const bool alone = job.spec.together || job.spec.apart;
     if (!alone && exhausted_.contains(shape_of(job))) return;
-    const auto need = job.need();
+    const auto need = job.task_resources();
     const auto promise = [&](std::size_t i) {
         while (tasks > 0 && capacities_[i].later.holds(need)) {
             capacities_[i].later.subtract(need);
@@ -256,7 +257,7 @@
         if (tasks == 0) return;
         if (victim->stopping || !allowed(job, *machines_[i])) continue;
         auto later = capacities_[i].later;
-        later.add(victim->job->need());
+        later.add(victim->job->task_resources());
         if (!later.holds(need)) continue;
         victim->preempted = true;
         const bool saves = victim->job->spec.checkpoint_every_s > 0;
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -22,8 +22,9 @@
 
 class Scheduler {
   public:
-    Scheduler(sansio::Context& port, state::ClusterState& ledger, workers::WorkerManager& workers,
-              const state::RunTimeEstimator& run_times, const config::Config& config);
+    Scheduler(sansio::Context& port, state::ClusterState& cluster_state,
+              workers::WorkerManager& workers, const state::RunTimeEstimator& run_times,
+              const config::Config& config);
 
     // One pass: places what waits, and stops what must make room. Returns how many jobs waited.
     std::size_t run();
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -52,7 +52,7 @@
 
 // ---- jobs ----
 
-Job* ClusterState::add_job(kv::JobRecord record, KeyRev revision) {
+Job* ClusterState::add_job(kv::JobRecord record, KeyRevision revision) {
     const auto [it, added] = jobs_.try_emplace(record.spec.id);
     if (!added) return nullptr;
     auto& job = it->second;
@@ -61,7 +61,7 @@
     job.dependency_parts = record.dependency_parts;
     // Time of day may differ between nodes; a job is never from the future.
     const auto age = std::max<std::int64_t>(0, context_.wall_ms() - record.submitted_ms);
-    job.submitted = job.ready_at = context_.now() - Millis(age);
+    job.submitted = job.runnable_since = context_.now() - Millis(age);
     job.priority = job.spec.priority;
     if (job.spec.due_s) job.latest_end = job.submitted + from_seconds(*job.spec.due_s);
     job.tasks.resize(job.spec.task_count);
@@ -130,7 +130,7 @@
     job.cancelled_by_dependency = true;
     job.waiting.clear();
     dirty_.mark(kv::terminal_key(job.spec.id), CommitUrgency::terminal);
-    context_.log(sansio::LogLevel::info, "event=cancelled_with_dependency id={} term={}",
+    context_.log(sansio::LogLevel::info, "event=cancelled_by_dependency id={} term={}",
                  job.spec.id.get(), election_.term().get());
 }
 
@@ -170,14 +170,15 @@
 
 // ---- machines ----
 
-Machine& ClusterState::create_machine(const HostName& host) {
+Machine& ClusterState::create_machine(const MachineName& host) {
     auto& machine = machines_[host];
     machine.host = host;
-    machine.worker.known_since = machine.cloud.provisioned_at = machine.idle_since = context_.now();
+    machine.worker.first_known_at = machine.instance.provisioned_at = machine.idle_since =
+        context_.now();
     return machine;
 }
 
-Machine& ClusterState::add_machine(const HostName& host, const std::string& machine_type,
+Machine& ClusterState::add_machine(const MachineName& host, const std::string& machine_type,
                                    const std::string& zone, bool spot) {
     if (auto* known = find_machine(host)) {
         describe(*known, machine_type, zone, spot);
@@ -205,7 +206,7 @@
     machine.zone = zone;
 }
 
-Machine* ClusterState::find_machine(const HostName& host) {
+Machine* ClusterState::find_machine(const MachineName& host) {
     const auto it = machines_.find(host);
     return it == machines_.end() ? nullptr : &it->second;
 }
@@ -247,7 +248,7 @@
     job.tasks[index].at = &it->second;
     ++job.placed;
     ++job.zones[machine.zone];
-    machine.used.add(job.need());
+    machine.used.add(job.task_resources());
     auto& use = use_[job.spec.team];
     use.cpus += job.spec.cores;
     use.gpus += job.spec.accelerators;
@@ -284,8 +285,8 @@
     set_running(it->second, false);
     auto& job = *it->second.job;
     const auto index = it->second.index;
-    if (it->second.stopping) machine.releasing.subtract(job.need());
-    machine.used.subtract(job.need());
+    if (it->second.stopping) machine.releasing.subtract(job.task_resources());
+    machine.used.subtract(job.task_resources());
     machine.tasks.erase(it);
     if (machine.tasks.empty()) machine.used = machine.releasing = {};
     auto& task = job.tasks[index];
@@ -305,7 +306,7 @@
 void ClusterState::set_stopping(Placement& p) {
     if (p.stopping) return;
     p.stopping = true;
-    p.machine->releasing.add(p.job->need());
+    p.machine->releasing.add(p.job->task_resources());
 }
 
 void ClusterState::set_running(Placement& p, bool running) {
@@ -335,7 +336,7 @@
 }
 
 void ClusterState::scale_out_answered(const std::string& idempotency_key,
-                                      const std::vector<HostName>& hosts) {
+                                      const std::vector<MachineName>& hosts) {
     const auto it = scale_outs_.find(idempotency_key);
     if (it == scale_outs_.end()) return;
     unanswered_scale_outs_.erase(idempotency_key);
@@ -363,7 +364,7 @@
 void ClusterState::adopt_format(std::uint64_t format) {
     if (format <= format_ || !loaded_) return;
     format_ = format;
-    context_.log(sansio::LogLevel::info, "event=format version={}", format);
+    context_.log(sansio::LogLevel::info, "event=record_format_adopted version={}", format);
     dirty_.mark(kv::kFormatMark, CommitUrgency::terminal);
 }
 
--- a/src/state/cluster_state.hpp
+++ b/src/state/cluster_state.hpp
@@ -52,7 +52,7 @@
     // ---- jobs ----
 
     // From its record at that revision; null if the job is known already.
-    Job* add_job(kv::JobRecord record, KeyRev revision);
+    Job* add_job(kv::JobRecord record, KeyRevision revision);
     // A job of which only progress is left on record: it is over.
     Job& add_terminal_job(const JobId& id);
     void mark_cancelled(const JobId& id, std::int64_t at_ms);
@@ -71,12 +71,12 @@
     // ---- machines ----
 
     // A machine that no rental's answer has named.
-    Machine& add_machine(const HostName& host, const std::string& machine_type,
+    Machine& add_machine(const MachineName& host, const std::string& machine_type,
                          const std::string& zone, bool spot);
     // A machine that a record names.
-    Machine& create_machine(const HostName& host);
-    Machine* find_machine(const HostName& host);
-    std::map<HostName, Machine>& machines() { return machines_; }
+    Machine& create_machine(const MachineName& host);
+    Machine* find_machine(const MachineName& host);
+    std::map<MachineName, Machine>& machines() { return machines_; }
     // What a machine is, where its record does not say.
     void describe(Machine& machine, const std::string& machine_type, const std::string& zone,
                   bool spot);
@@ -103,7 +103,8 @@
     void add_scale_out(const wire::ScaleOutRequest& request);
     void restore_scale_out(ScaleOutRecord rental);
     // The cloud's answer: the machines that the request has brought. Without any it is over.
-    void scale_out_answered(const std::string& idempotency_key, const std::vector<HostName>& hosts);
+    void scale_out_answered(const std::string& idempotency_key,
+                            const std::vector<MachineName>& hosts);
     const std::map<std::string, ScaleOutRecord>& rentals() const { return scale_outs_; }
     // Idempotency keys of the requests that the cloud has not answered yet.
     const std::set<std::string>& unanswered_scale_outs() const { return unanswered_scale_outs_; }
@@ -142,7 +143,7 @@
     std::uint64_t next_sequence_ = 0;
     std::uint64_t next_attempt_ = 0;
     std::map<JobId, Job> jobs_;
-    std::map<HostName, Machine> machines_;
+    std::map<MachineName, Machine> machines_;
     DependencyGraph dependencies_;
     std::map<std::string, ScaleOutRecord> scale_outs_;
     std::set<std::string> unanswered_scale_outs_;
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -33,13 +33,17 @@
 }  // namespace
 
 ClusterStateLoader::ClusterStateLoader(sansio::Context& port, kv::KvClient& store,
-                                       coordination::Election& election, ClusterState& ledger,
-                                       const config::Config& config)
-    : context_(port), kv_client_(store), election_(election), state_(ledger), config_(config) {}
+                                       coordination::Election& election,
+                                       ClusterState& cluster_state, const config::Config& config)
+    : context_(port),
+      kv_client_(store),
+      election_(election),
+      state_(cluster_state),
+      config_(config) {}
 
 void ClusterStateLoader::load() {
     state_.begin();
-    ends_read_at_ = context_.now();
+    terminal_records_read_at_ = context_.now();
     load_next(0, state_.generation());
 }
 
@@ -84,7 +88,7 @@
 // A record that cannot be read stops the load: going on without it would lose a job or a task. A
 // node that knows the format may lead meanwhile.
 void ClusterStateLoader::bad_record(const std::string& key, const std::string& error) {
-    context_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"", key, error);
+    context_.log(sansio::LogLevel::error, "event=invalid_record key={} error=\"{}\"", key, error);
     election_.resign(kStandAside);
 }
 
@@ -121,8 +125,8 @@
 
 void ClusterStateLoader::load_rentals(const kv::ListResult& result) {
     take_rows(result, [this](const kv::Row& row) {
-        if (row.key == kv::kFormatMark && config_.format >= config::kRangeFormat) {
-            state_.restore_format(decode_format_mark(row.value, config_.format));
+        if (row.key == kv::kFormatMark && config_.newest_record_format >= config::kRangeFormat) {
+            state_.restore_format(decode_format_mark(row.value, config_.newest_record_format));
         } else {
             state_.restore_scale_out(decode_scale_out_record(row.value));
         }
@@ -144,7 +148,7 @@
 }
 
 void ClusterStateLoader::load_progress_record(const kv::Row& row) {
-    const auto record = decode_progress(row, config_.format);
+    const auto record = decode_progress(row, config_.newest_record_format);
     state_.stored().set(row.key, row.rev);
     // Where the job is over and its record gone, what was recorded counts until proved gone.
     auto* known = state_.find_job(record.job);
@@ -178,7 +182,7 @@
     const auto n = std::min(ids.size(), kv_client_.max_preconditions() / 2);
     std::vector<wire::Precondition> preconditions;
     for (std::size_t i = 0; i < n; ++i)
-        preconditions.push_back({kv::terminal_key(ids[i]), KeyRev()});
+        preconditions.push_back({kv::terminal_key(ids[i]), KeyRevision()});
     kv_client_.transact(
         preconditions, {}, kCheckTimeout,
         [this, ids = std::move(ids), n, generation](const kv::TransactionResult& result) mutable {
@@ -207,7 +211,7 @@
     state_.set_loaded();
     link_dependencies();
     context_.log(sansio::LogLevel::info,
-                 "event=ledger_loaded term={} jobs={} machines={} open_rentals={}",
+                 "event=state_loaded term={} jobs={} machines={} open_rentals={}",
                  election_.term().get(), state_.jobs().size(), state_.machines().size(),
                  state_.unanswered_scale_outs().size());
     watch(kJobPrefix, load_revision_, generation);
@@ -227,7 +231,7 @@
 
 // ---- what others write ----
 
-void ClusterStateLoader::watch(const char* prefix, KeyRev from, std::uint64_t generation) {
+void ClusterStateLoader::watch(const char* prefix, KeyRevision from, std::uint64_t generation) {
     // What is known of the ends must never be old (Controller::may_renew_leases).
     const bool ends = prefix == std::string_view(kTerminalPrefix);
     const auto wait =
@@ -243,7 +247,8 @@
                          }
                          const bool failed = result.kind == kv::WatchResult::Kind::failed;
                          for (const auto& change : result.changes) apply_change(change);
-                         if (ends && !failed) ends_read_at_ = std::max(ends_read_at_, asked);
+                         if (ends && !failed)
+                             terminal_records_read_at_ = std::max(terminal_records_read_at_, asked);
                          context_.after(
                              failed ? kWatchRetry : kWatchPause,
                              [this, prefix, generation, next = failed ? from : result.rev] {
@@ -271,8 +276,8 @@
     try {
         job = state_.add_job(kv::decode_job_record(change.value), change.rev);
     } catch (const wire::DecodeError& e) {
-        context_.log(sansio::LogLevel::error, "event=bad_record key={} error=\"{}\"", change.key,
-                     e.what());
+        context_.log(sansio::LogLevel::error, "event=invalid_record key={} error=\"{}\"",
+                     change.key, e.what());
         return;
     }
     if (!job) return;
--- a/src/state/cluster_state_loader.hpp
+++ b/src/state/cluster_state_loader.hpp
@@ -20,12 +20,12 @@
 class ClusterStateLoader {
   public:
     ClusterStateLoader(sansio::Context& port, kv::KvClient& store, coordination::Election& election,
-                       ClusterState& ledger, const config::Config& config);
+                       ClusterState& cluster_state, const config::Config& config);
 
     // Begins the ledger anew; it is loaded once everything has been read.
     void load();
     // Every end that was committed before is known.
-    Instant ends_read_at() const { return ends_read_at_; }
+    Instant terminal_records_read_at() const { return terminal_records_read_at_; }
 
   private:
     void load_next(std::size_t step, std::uint64_t generation);
@@ -41,7 +41,7 @@
     void try_again(std::function<void()> read);
     void bad_record(const std::string& key, const std::string& error);
 
-    void watch(const char* prefix, KeyRev from, std::uint64_t generation);
+    void watch(const char* prefix, KeyRevision from, std::uint64_t generation);
     void apply_change(const kv::Change& change);
     void add_new_job(const kv::Change& change);
     void take_dependency_part(Job& job, const kv::Row& row);
@@ -52,8 +52,8 @@
     coordination::Election& election_;
     ClusterState& state_;
     const config::Config& config_;
-    KeyRev load_revision_;  // of the first list: watching from here misses nothing
-    Instant ends_read_at_{};
+    KeyRevision load_revision_;  // of the first list: watching from here misses nothing
+    Instant terminal_records_read_at_{};
 };
 
 }  // namespace dunebridge::state
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -24,13 +24,13 @@
 }  // namespace
 
 ClusterStateWriter::ClusterStateWriter(sansio::Context& port, kv::KvClient& store,
-                                       coordination::Election& election, ClusterState& ledger,
-                                       const config::Config& config)
+                                       coordination::Election& election,
+                                       ClusterState& cluster_state, const config::Config& config)
     : context_(port),
       election_(election),
-      state_(ledger),
+      state_(cluster_state),
       config_(config),
-      writes_(kWriteShare * config.state.write_rps()),
+      writes_(kWriteShare * config.kv_limits.write_rps()),
       transaction_(port, store, writes_) {}
 
 void ClusterStateWriter::reset() {
@@ -54,9 +54,10 @@
         context_.request_wake(next_commit_);
         return;
     }
-    const auto most_writes = std::min(config_.state.txn_ops(), static_cast<std::size_t>(budget));
+    const auto most_writes =
+        std::min(config_.kv_limits.txn_ops(), static_cast<std::size_t>(budget));
     TransactionBuilder builder(context_, state_, replacements_,
-                               {most_writes, config_.state, limits_lowered_},
+                               {most_writes, config_.kv_limits, limits_lowered_},
                                election_.precondition());
     for (const auto& key : due) {
         if (!builder.add(key)) break;
@@ -74,7 +75,7 @@
     const auto now = context_.now();
     writes_.take(static_cast<double>(commit.writes.size()), now);
     state_.set_committing(true);
-    const bool is_short = budget < kWriteShare * config_.state.write_rps() / 2;
+    const bool is_short = budget < kWriteShare * config_.kv_limits.write_rps() / 2;
     next_commit_ = now + (is_short ? kCommitEveryWhenShort : kCommitEvery);
     auto preconditions = std::move(commit.preconditions);
     auto writes = std::move(commit.writes);
@@ -94,7 +95,8 @@
     }
     if (result.outcome == Outcome::unknown) {
         // It may be applied at any later time. A new term over the own key fences it off.
-        context_.log(sansio::LogLevel::info, "event=commit_lost term={}", election_.term().get());
+        context_.log(sansio::LogLevel::info, "event=transaction_outcome_unknown term={}",
+                     election_.term().get());
         election_.renew_term();
         return;
     }
@@ -115,12 +117,12 @@
 void ClusterStateWriter::refused_as_too_large(const StateTransaction& commit) {
     const bool first = !limits_lowered_;
     limits_lowered_ = true;
-    context_.log(sansio::LogLevel::error, "event=commit_refused writes={} bytes={}",
+    context_.log(sansio::LogLevel::error, "event=transaction_too_large writes={} bytes={}",
                  commit.keys.size(), commit.bytes);
     next_commit_ = context_.now() + (first ? kCommitRetry : kRefusedRetry);
 }
 
-void ClusterStateWriter::applied(const StateTransaction& commit, KeyRev revision) {
+void ClusterStateWriter::applied(const StateTransaction& commit, KeyRevision revision) {
     for (const auto& original : commit.originals) replacements_.committed(original);
     for (const auto& [key, set] : commit.keys) {
         state_.dirty().committed(key, commit.version);
@@ -180,7 +182,7 @@
         state_.dependencies().read_end(id);
     }
     if (explained) return;
-    context_.log(sansio::LogLevel::info, "event=commit_conflict term={} key={} of={}",
+    context_.log(sansio::LogLevel::info, "event=transaction_conflict term={} key={} of={}",
                  election_.term().get(), result.failed.empty() ? "" : result.failed.front(),
                  result.failed.size());
     // The leader key has changed. Standing again over the old revision fails if another leads.
--- a/src/state/cluster_state_writer.hpp
+++ b/src/state/cluster_state_writer.hpp
@@ -21,7 +21,7 @@
 class ClusterStateWriter {
   public:
     ClusterStateWriter(sansio::Context& port, kv::KvClient& store, coordination::Election& election,
-                       ClusterState& ledger, const config::Config& config);
+                       ClusterState& cluster_state, const config::Config& config);
 
     // Another term begins, or this node leads no more: the transaction under way is forgotten.
     void reset();
@@ -31,7 +31,7 @@
   private:
     void send(StateTransaction commit, double budget);
     void finish(const StateTransaction& commit, const kv::TransactionResult& result);
-    void applied(const StateTransaction& commit, KeyRev revision);
+    void applied(const StateTransaction& commit, KeyRevision revision);
     void progress_committed(const std::string& key);
     void end_committed(const JobId& id);
     void conflict(const kv::TransactionResult& result);
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -66,7 +66,7 @@
                 callbacks_.cancel(*job);
                 ends.push_back(next);
             } else if (job->unmet_dependencies.erase(end) > 0 && job->unmet_dependencies.empty()) {
-                job->ready_at = context_.now();
+                job->runnable_since = context_.now();
             }
         }
     }
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -50,8 +50,8 @@
 
 // What tells against a job whose tasks fail (workers/failure_attribution.hpp).
 struct JobFailures {
-    std::set<HostName> machines;  // on which its tasks failed since one of them last succeeded
-    bool faulty = false;          // its tasks are taken to fail on every machine
+    std::set<MachineName> machines;  // on which its tasks failed since one of them last succeeded
+    bool faulty = false;             // its tasks are taken to fail on every machine
 };
 
 // Of a faulty job, so many tasks are tried at a time.
@@ -77,7 +77,8 @@
     std::uint64_t dependency_parts = 0;
     std::uint64_t parts_read = 0;
     bool cancelled_by_dependency = false;  // one of those is cancelled, and this job ends with it
-    Instant ready_at{};  // when the last job that it needs was done; else when it was submitted
+    Instant
+        runnable_since{};  // when the last job that it needs was done; else when it was submitted
     // What the jobs that need it ask of it: the highest priority, and the latest end.
     wire::Priority priority = wire::Priority::idle;
     Instant latest_end = Instant::max();
@@ -87,7 +88,7 @@
     JobFailures failures;
 
     // How many more of its tasks may be placed now, whatever its team's limit is.
-    std::size_t placeable() const {
+    std::size_t placeable_tasks() const {
         if (!failures.faulty) return waiting.size();
         return std::min(waiting.size(),
                         kFaultyJobTasks - std::min<std::size_t>(placed, kFaultyJobTasks));
@@ -95,8 +96,8 @@
     // Some task of it has been given a machine.
     bool has_started() const { return done > 0 || placed > 0; }
     // Nothing of it may start yet.
-    bool waits() const { return !unmet_dependencies.empty() || parts_read < dependency_parts; }
-    Resources need() const { return {spec.cores, spec.accelerators, spec.ram_gb}; }
+    bool is_blocked() const { return !unmet_dependencies.empty() || parts_read < dependency_parts; }
+    Resources task_resources() const { return {spec.cores, spec.accelerators, spec.ram_gb}; }
 };
 
 // How a start has left this leader.
@@ -123,7 +124,7 @@
     std::uint64_t fenced_from = 0;
     bool seen = false;
     wire::TaskPhase phase = wire::TaskPhase::other;
-    std::uint64_t session =
+    std::uint64_t agent_epoch =
         0;  // of the session it was sent to or seen in, in this term; 0: neither
     Instant placed_at{};
     Instant running_since{};
@@ -158,18 +159,18 @@
 
 // What the leader of this term knows of a machine's worker (workers/).
 struct WorkerStatus {
-    Instant known_since{};  // to this term's leader
-    bool reported = false;
+    Instant first_known_at{};  // to this term's leader
+    bool heartbeat_received = false;
     HeartbeatSequence last;
     HeartbeatSequence last_heartbeat_request;
     Instant last_heartbeat_at{};
     Instant last_reply_at{};
     // The highest fencing token that the worker has shown, and the machine's own part of the one
     // that is current.
-    FencingToken shown;
+    FencingToken acknowledged_token;
     std::uint64_t fence_counter = 0;
     // Answers to check-ins that carried the current token, since a report last showed it.
-    std::uint32_t unacknowledged = 0;
+    std::uint32_t unacknowledged_replies = 0;
     Instant unacknowledged_since{};
     // Direct commands.
     bool needs_commands = false;
@@ -188,9 +189,9 @@
     Instant provisioned_at{};  // as far as the machine list shows
     bool starting = true;
     // How it comes up (provisioning/boot_monitor.hpp).
-    bool awaited = false;   // rented in this term, and not up yet
-    bool overdue = false;   // it should be up
-    bool replaced = false;  // overdue, and another may take its place in the fleet
+    bool boot_tracked = false;  // rented in this term, and not up yet
+    bool overdue = false;       // it should be up
+    bool replaced = false;      // overdue, and another may take its place in the fleet
     bool listed = false;
     std::uint32_t missed_listings = 0;
     bool failed = false;
@@ -198,7 +199,7 @@
 };
 
 struct Machine {
-    HostName host;
+    MachineName host;
     std::string endpoint;
     std::string machine_type;
     std::string zone;
@@ -210,7 +211,7 @@
     Resources releasing;  // the part of it that tasks being stopped will leave
 
     WorkerStatus worker;
-    InstanceStatus cloud;
+    InstanceStatus instance;
     bool cordoned = false;                 // gets no new tasks, and is returned once it has none
     std::optional<Instant> preemption_at;  // when the cloud takes it, announced by a notice
     Instant idle_since{};
@@ -224,7 +225,7 @@
 struct ScaleOutRecord {
     wire::ScaleOutRequest request;
     bool answered = false;
-    std::set<HostName> hosts;
+    std::set<MachineName> hosts;
 };
 
 struct TeamUsage {
--- a/src/state/record_codec.cpp
+++ b/src/state/record_codec.cpp
@@ -59,7 +59,7 @@
 // [host, index, attempt, index, attempt, ...], both relative to the record's own.
 void decode_host(wire::Value entry, std::uint64_t base, ProgressRecord& record) {
     if (entry.size() < 1) throw DecodeError("tasks");
-    const HostName host(entry.at(0).need_text("host"));
+    const MachineName host(entry.at(0).need_text("host"));
     for (std::size_t i = 1; i + 1 < entry.size(); i += 2) {
         const auto index = entry.at(i).need_count("index");
         if (index >= record.size) throw DecodeError("index");
--- a/src/state/record_codec.hpp
+++ b/src/state/record_codec.hpp
@@ -29,7 +29,7 @@
 struct ProgressRecord {
     struct Placed {
         std::uint32_t index = 0;
-        HostName host;
+        MachineName host;
         Attempt attempt;
     };
     JobId job;
--- a/src/state/retried_transaction.cpp
+++ b/src/state/retried_transaction.cpp
@@ -63,7 +63,7 @@
 void RetriedTransaction::answered(const TransactionResult& result) {
     if (result.outcome == Outcome::unknown) {
         some_lost_ = true;
-        context_.log(sansio::LogLevel::info, "event=commit_unknown copies={}", copies_);
+        context_.log(sansio::LogLevel::info, "event=transaction_retried copies={}", copies_);
         copies_ < kMaxCopies ? send_again() : finish(result);
         return;
     }
@@ -122,7 +122,7 @@
             return;
         }
         const auto& precondition = *precondition_of(writes_[write]);
-        const auto now = result.row ? result.row->rev : KeyRev();
+        const auto now = result.row ? result.row->rev : KeyRevision();
         now == precondition.rev || written_by_a_user(writes_[write], result)
             ? finish(conflict)
             : confirm_applied(precondition, now);
@@ -140,7 +140,7 @@
 
 // The record has changed. It was this transaction that changed it if this node still leads in the
 // term that sent it.
-void RetriedTransaction::confirm_applied(const wire::Precondition& precondition, KeyRev now) {
+void RetriedTransaction::confirm_applied(const wire::Precondition& precondition, KeyRevision now) {
     kv_client_.transact(
         {preconditions_.front(), {precondition.key, now}}, {}, kTimeout,
         while_current<TransactionResult>([this, precondition, now](const auto& result) {
--- a/src/state/retried_transaction.hpp
+++ b/src/state/retried_transaction.hpp
@@ -43,7 +43,7 @@
     void settle(const kv::TransactionResult& conflict);
     void settle_by(std::size_t write, const kv::TransactionResult& conflict);
     static bool written_by_a_user(const wire::Write& write, const kv::GetResult& result);
-    void confirm_applied(const wire::Precondition& precondition, KeyRev now);
+    void confirm_applied(const wire::Precondition& precondition, KeyRevision now);
     void finish(const kv::TransactionResult& result);
     const wire::Precondition* precondition_of(const wire::Write& write) const;
     std::optional<std::size_t> telling_write() const;
--- a/src/state/stored_records.hpp
+++ b/src/state/stored_records.hpp
@@ -15,19 +15,19 @@
     bool contains(const std::string& key) const { return revisions_.contains(key); }
     // The revision that a transaction on the record is guarded with; that of an absent key if the
     // record does not exist.
-    KeyRev revision(const std::string& key) const {
+    KeyRevision revision(const std::string& key) const {
         const auto it = revisions_.find(key);
-        return it == revisions_.end() ? KeyRev() : it->second;
+        return it == revisions_.end() ? KeyRevision() : it->second;
     }
-    void set(const std::string& key, KeyRev revision) { revisions_[key] = revision; }
+    void set(const std::string& key, KeyRevision revision) { revisions_[key] = revision; }
     // Read late: a revision that is known already is at least as new.
-    void set_if_unknown(const std::string& key, KeyRev revision) {
+    void set_if_unknown(const std::string& key, KeyRevision revision) {
         revisions_.try_emplace(key, revision);
     }
     void erase(const std::string& key) { revisions_.erase(key); }
 
   private:
-    std::unordered_map<std::string, KeyRev> revisions_;
+    std::unordered_map<std::string, KeyRevision> revisions_;
 };
 
 }  // namespace dunebridge::state
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -29,9 +29,9 @@
 }
 }  // namespace
 
-RecordedRange find_recorded_range(ClusterState& ledger, const std::string& progress_key) {
+RecordedRange find_recorded_range(ClusterState& cluster_state, const std::string& progress_key) {
     const auto name = without_prefix(progress_key, kProgressPrefix);
-    auto* job = ledger.find_job(JobId(name.substr(0, name.rfind('/'))));
+    auto* job = cluster_state.find_job(JobId(name.substr(0, name.rfind('/'))));
     if (!job) return {};
     return {job, find_range(*job, progress_key)};
 }
@@ -40,11 +40,11 @@
     return job.cancelled_by_dependency ? wire::JobPhase::cancelled : wire::JobPhase::done;
 }
 
-TransactionBuilder::TransactionBuilder(sansio::Context& port, ClusterState& ledger,
+TransactionBuilder::TransactionBuilder(sansio::Context& port, ClusterState& cluster_state,
                                        RecordReplacements& replacements, TransactionLimits limits,
                                        wire::Precondition leads)
-    : context_(port), state_(ledger), replacements_(replacements), limits_(limits) {
-    commit_.version = ledger.version();
+    : context_(port), state_(cluster_state), replacements_(replacements), limits_(limits) {
+    commit_.version = cluster_state.version();
     commit_.preconditions.push_back(std::move(leads));
 }
 
@@ -187,7 +187,7 @@
 
 // The job must not have ended.
 void TransactionBuilder::add_precondition_on_end(const std::string& key) {
-    if (ends_.insert(key).second) commit_.preconditions.push_back({key, KeyRev()});
+    if (ends_.insert(key).second) commit_.preconditions.push_back({key, KeyRevision()});
 }
 
 void TransactionBuilder::add_record(const std::string& key, std::optional<Record> record) {
--- a/src/state/transaction_builder.hpp
+++ b/src/state/transaction_builder.hpp
@@ -39,13 +39,13 @@
 // What bounds a transaction at the time.
 struct TransactionLimits {
     std::size_t writes = 0;
-    config::Limits state;
+    config::KvLimits state;
     bool lowered = false;  // the state service has refused a value that fitted before
 };
 
 class TransactionBuilder {
   public:
-    TransactionBuilder(sansio::Context& port, ClusterState& ledger,
+    TransactionBuilder(sansio::Context& port, ClusterState& cluster_state,
                        RecordReplacements& replacements, TransactionLimits limits,
                        wire::Precondition leads);
 
@@ -90,7 +90,7 @@
     Job* job = nullptr;
     const TaskRange* range = nullptr;
 };
-RecordedRange find_recorded_range(ClusterState& ledger, const std::string& progress_key);
+RecordedRange find_recorded_range(ClusterState& cluster_state, const std::string& progress_key);
 
 // How a job ends whose end this leader commits.
 wire::JobPhase end_of(const Job& job);
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -72,7 +72,7 @@
     for (std::size_t i = 0; i < list.size(); ++i) {
         const Value v = list.at(i);
         MachineListing r;
-        r.host = HostName(v["name_id"].need_text("name_id"));
+        r.host = MachineName(v["name_id"].need_text("name_id"));
         r.endpoint = v["endpoint"].text().value_or("");
         r.machine_type = v["shape"].need_text("shape");
         r.zone = v["region"].need_text("region");
@@ -85,13 +85,13 @@
     return page;
 }
 
-std::vector<HostName> decode_hosts(Value body) {
-    std::vector<HostName> out;
+std::vector<MachineName> decode_hosts(Value body) {
+    std::vector<MachineName> out;
     for (auto& s : text_list(body["hosts"], "hosts")) out.emplace_back(std::move(s));
     return out;
 }
 
-std::string encode_hosts(const std::vector<HostName>& hosts) {
+std::string encode_hosts(const std::vector<MachineName>& hosts) {
     Writer w;
     w.map(1).text("hosts").list(hosts.size());
     for (const auto& h : hosts) w.text(h.get());
--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -43,7 +43,7 @@
 
 enum class MachinePhase : std::uint8_t { starting, running, failed };
 struct MachineListing {
-    HostName host;
+    MachineName host;
     std::string endpoint;
     std::string machine_type;
     std::string zone;
@@ -56,7 +56,7 @@
     bool has_next = false;
 };
 MachineListPage decode_machine_list(Value body);
-std::vector<HostName> decode_hosts(Value body);
-std::string encode_hosts(const std::vector<HostName>& hosts);
+std::vector<MachineName> decode_hosts(Value body);
+std::string encode_hosts(const std::vector<MachineName>& hosts);
 
 }  // namespace dunebridge::wire
--- a/src/wire/state_messages.hpp
+++ b/src/wire/state_messages.hpp
@@ -14,7 +14,7 @@
 
 struct Precondition {
     std::string key;
-    KeyRev rev;  // 0: the key does not exist
+    KeyRevision rev;  // 0: the key does not exist
 };
 struct Write {
     std::string key;
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -18,7 +18,7 @@
                                              {"full", ExitReason::full},
                                              {"busy", ExitReason::busy},
                                              {"unknown", ExitReason::unknown}}};
-constexpr Names<CommandKind, 3> kVerbs{
+constexpr Names<CommandKind, 3> kCommandKinds{
     {{"start", CommandKind::start}, {"halt", CommandKind::stop}, {"clear", CommandKind::clear}}};
 
 TaskRef decode_task_ref(Value v) {
@@ -32,14 +32,14 @@
     return ref;
 }
 
-void encode_orders(Writer& w, const std::vector<TaskCommand>& orders) {
-    w.text("orders").list(orders.size());
-    for (const auto& o : orders) {
-        w.map(o.verb == CommandKind::stop ? 4 : 3);
-        w.text("verb").text(to_name(kVerbs, o.verb));
+void encode_commands_list(Writer& w, const std::vector<TaskCommand>& commands) {
+    w.text("orders").list(commands.size());
+    for (const auto& o : commands) {
+        w.map(o.kind == CommandKind::stop ? 4 : 3);
+        w.text("verb").text(to_name(kCommandKinds, o.kind));
         w.text("shard").text(o.task.str());
         w.text("try").count(o.attempt.get());
-        if (o.verb == CommandKind::stop) w.text("drain_s").number(o.grace_s);
+        if (o.kind == CommandKind::stop) w.text("drain_s").number(o.grace_s);
     }
 }
 
@@ -48,7 +48,7 @@
 WorkerHeartbeat decode_worker_heartbeat(Value body) {
     if (!body.is_map()) throw DecodeError(DecodeProblem::not_a_map);
     WorkerHeartbeat r;
-    r.host = HostName(body["host"].need_text("host"));
+    r.host = MachineName(body["host"].need_text("host"));
     if (r.host.get().empty() || r.host.get().size() > 100 ||
         r.host.get().find_first_of(" /") != std::string::npos) {
         invalid("host");
@@ -83,7 +83,7 @@
     w.text("shape").text(r.machine_type);
     w.text("region").text(r.zone);
     w.text("reclaimable").boolean(r.spot);
-    w.text("tenure").count(r.order.session);
+    w.text("tenure").count(r.order.agent_epoch);
     w.text("tick").count(r.order.sequence);
     w.text("epoch").count(r.token.get());
     w.text("eviction_s");
@@ -103,32 +103,33 @@
     return w.take();
 }
 
-std::string encode_heartbeat_reply(FencingToken token, const std::vector<TaskCommand>& orders) {
+std::string encode_heartbeat_reply(FencingToken token, const std::vector<TaskCommand>& commands) {
     Writer w;
     w.map(2).text("epoch").count(token.get());
-    encode_orders(w, orders);
+    encode_commands_list(w, commands);
     return w.take();
 }
 
-std::string encode_commands(FencingToken token, std::uint64_t session,
-                            const std::vector<TaskCommand>& orders) {
+std::string encode_commands(FencingToken token, std::uint64_t agent_epoch,
+                            const std::vector<TaskCommand>& commands) {
     Writer w;
-    w.map(3).text("epoch").count(token.get()).text("tenure").count(session);
-    encode_orders(w, orders);
+    w.map(3).text("epoch").count(token.get()).text("tenure").count(agent_epoch);
+    encode_commands_list(w, commands);
     return w.take();
 }
 
 CommandBatch decode_commands(Value body) {
     CommandBatch c;
     c.token = FencingToken(body["epoch"].need_count("epoch"));
-    c.session = body["tenure"].count();
-    const Value orders = body["orders"];
-    for (std::size_t i = 0; i < orders.size(); ++i) {
-        const Value v = orders.at(i);
-        const auto verb = from_name(kVerbs, v["verb"].need_text("verb"));
-        if (!verb) invalid("verb");
-        c.orders.push_back({*verb, decode_task_ref(v["shard"]), Attempt(v["try"].need_count("try")),
-                            v["drain_s"].number().value_or(0)});
+    c.agent_epoch = body["tenure"].count();
+    const Value commands = body["orders"];
+    for (std::size_t i = 0; i < commands.size(); ++i) {
+        const Value v = commands.at(i);
+        const auto kind = from_name(kCommandKinds, v["verb"].need_text("verb"));
+        if (!kind) invalid("verb");
+        c.commands.push_back({*kind, decode_task_ref(v["shard"]),
+                              Attempt(v["try"].need_count("try")),
+                              v["drain_s"].number().value_or(0)});
     }
     return c;
 }
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -26,7 +26,7 @@
 
 // A worker's report: the body of /checkin and the answer of /commands and /inspect.
 struct WorkerHeartbeat {
-    HostName host;
+    MachineName host;
     std::string endpoint;
     std::string machine_type;
     std::string zone;
@@ -37,22 +37,22 @@
     std::vector<TaskStatus> tasks;
 };
 WorkerHeartbeat decode_worker_heartbeat(Value body);
-std::string encode(const WorkerHeartbeat& report);
+std::string encode(const WorkerHeartbeat& heartbeat);
 
 enum class CommandKind : std::uint8_t { start, stop, clear };
 struct TaskCommand {
-    CommandKind verb = CommandKind::start;
+    CommandKind kind = CommandKind::start;
     TaskRef task;
     Attempt attempt;
     double grace_s = 0;
 };
-std::string encode_heartbeat_reply(FencingToken token, const std::vector<TaskCommand>& orders);
-std::string encode_commands(FencingToken token, std::uint64_t session,
-                            const std::vector<TaskCommand>& orders);
+std::string encode_heartbeat_reply(FencingToken token, const std::vector<TaskCommand>& commands);
+std::string encode_commands(FencingToken token, std::uint64_t agent_epoch,
+                            const std::vector<TaskCommand>& commands);
 struct CommandBatch {
     FencingToken token;
-    std::optional<std::uint64_t> session;
-    std::vector<TaskCommand> orders;
+    std::optional<std::uint64_t> agent_epoch;
+    std::vector<TaskCommand> commands;
 };
 CommandBatch decode_commands(Value body);
 
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -16,7 +16,7 @@
 using wire::TaskPhase;
 
 namespace {
-constexpr std::size_t kMaxOrders = 250;
+constexpr std::size_t kMaxCommands = 250;
 // To the next command to the machine, after one that was answered and one that was not.
 constexpr Millis kSpacing{30};
 constexpr Millis kPauseAfterLoss{2000};
@@ -27,12 +27,12 @@
 }  // namespace
 
 CommandDispatcher::CommandDispatcher(sansio::Context& port, coordination::Election& election,
-                                     state::ClusterState& ledger, const config::Config& config,
-                                     HeartbeatProcessor& reports)
+                                     state::ClusterState& cluster_state,
+                                     const config::Config& config, HeartbeatProcessor& heartbeats)
     : context_(port),
       election_(election),
-      state_(ledger),
-      reports_(reports),
+      state_(cluster_state),
+      heartbeat_processor_(heartbeats),
       client_(port),
       max_in_flight_(config::SocketBudget(config.fd_limit).commands) {}
 
@@ -41,25 +41,27 @@
 // An attempt is cleared only when nothing still under way could start it once more. Returns whether
 // the token must be raised: direct commands that were carried out may be repeated late, and would
 // start again what is cleared. A higher token, in the very message that clears it, refuses them.
-bool CommandDispatcher::add_clears(const Machine& machine, std::vector<TaskCommand>& orders) const {
+bool CommandDispatcher::add_clears(const Machine& machine,
+                                   std::vector<TaskCommand>& commands) const {
     const auto& worker = machine.worker;
-    const bool shows_token = worker.shown == make_token(election_.term(), worker.fence_counter);
+    const bool shows_token =
+        worker.acknowledged_token == make_token(election_.term(), worker.fence_counter);
     if (!shows_token || worker.command_in_flight) return false;
     bool raise = false;
     for (const auto& exited : worker.exited) {
         if (!state_.committed(exited.record, exited.outcome)) continue;
-        orders.push_back({CommandKind::clear, exited.task, exited.attempt, 0});
+        commands.push_back({CommandKind::clear, exited.task, exited.attempt, 0});
         raise = raise || exited.fenced_from > worker.fence_counter;
     }
     return raise;
 }
 
-void CommandDispatcher::add_stop(const Placement& placement, std::vector<TaskCommand>& orders) {
+void CommandDispatcher::add_stop(const Placement& placement, std::vector<TaskCommand>& commands) {
     const bool wanted =
         placement.job->state == JobState::active && !placement.job->tasks[placement.index].done;
     const double grace_s = wanted ? placement.grace_s : 0;
     if (placement.phase == TaskPhase::saving && grace_s != 0) return;
-    orders.push_back({CommandKind::stop, placement.ref(), placement.attempt, grace_s});
+    commands.push_back({CommandKind::stop, placement.ref(), placement.attempt, grace_s});
 }
 
 // Whether a late repeat of a command could start the task's earlier attempt once more.
@@ -71,7 +73,7 @@
     });
 }
 
-std::vector<TaskCommand> CommandDispatcher::orders(Machine& machine, Channel channel) {
+std::vector<TaskCommand> CommandDispatcher::commands(Machine& machine, Channel channel) {
     const bool direct = channel == Channel::direct_command;
     std::vector<TaskCommand> out;
     std::vector<Placement*> started;
@@ -80,7 +82,7 @@
         out.push_back({CommandKind::stop, unexpected.task, unexpected.attempt, 0});
     }
     for (auto& [key, placement] : machine.tasks) {
-        if (out.size() >= kMaxOrders) break;
+        if (out.size() >= kMaxCommands) break;
         if (!placement.committed || placement.sent == StartDelivery::in_direct_command) continue;
         if (must_stop(placement)) {
             add_stop(placement, out);
@@ -94,11 +96,11 @@
         placement.sent =
             direct ? StartDelivery::in_direct_command : StartDelivery::in_heartbeat_reply;
         placement.in_heartbeat_reply = placement.in_heartbeat_reply || !direct;
-        placement.session = std::max(placement.session, machine.worker.last.session);
+        placement.agent_epoch = std::max(placement.agent_epoch, machine.worker.last.agent_epoch);
         started.push_back(&placement);
     }
     // Clearing alone can wait for the next check-in.
-    const auto is_clear = [](const TaskCommand& order) { return order.verb == CommandKind::clear; };
+    const auto is_clear = [](const TaskCommand& order) { return order.kind == CommandKind::clear; };
     if (direct && std::all_of(out.begin(), out.end(), is_clear)) return {};
     if (raise) ++machine.worker.fence_counter;
     if (direct) {
@@ -128,7 +130,8 @@
         auto& worker = machine->worker;
         worker.needs_commands = false;
         drop_unsent_to_stop(*machine);
-        if (!worker.reported || machine->cloud.deleting || unresponsive(*machine)) continue;
+        if (!worker.heartbeat_received || machine->instance.deleting || unresponsive(*machine))
+            continue;
         if (worker.command_in_flight) continue;  // its answer requests commands again
         if (in_flight_ >= max_in_flight_) {
             state_.request_commands(*machine);  // goes on when one of those under way has ended
@@ -142,7 +145,7 @@
 }
 
 void CommandDispatcher::send(Machine& machine) {
-    const auto out = orders(machine, Channel::direct_command);
+    const auto out = commands(machine, Channel::direct_command);
     if (out.empty()) return;
     machine.worker.command_in_flight = true;
     ++in_flight_;
@@ -154,7 +157,7 @@
                  });
 }
 
-void CommandDispatcher::answered(const HostName& host, const CommandResult& result) {
+void CommandDispatcher::answered(const MachineName& host, const CommandResult& result) {
     auto* machine = state_.find_machine(host);
     if (!machine) return;
     machine->worker.command_in_flight = false;
@@ -167,8 +170,8 @@
             result.unexecuted && !placement.seen ? before : StartDelivery::awaiting_confirmation;
     }
     state_.request_commands(*machine);
-    if (result.report) {
-        reports_.apply(*machine, *result.report, Channel::direct_command);
+    if (result.heartbeat) {
+        heartbeat_processor_.apply(*machine, *result.heartbeat, Channel::direct_command);
         machine->worker.next_command_at = context_.now() + kSpacing;
         return;
     }
--- a/src/workers/command_dispatcher.hpp
+++ b/src/workers/command_dispatcher.hpp
@@ -23,29 +23,30 @@
 class CommandDispatcher {
   public:
     CommandDispatcher(sansio::Context& port, coordination::Election& election,
-                      state::ClusterState& ledger, const config::Config& config,
-                      HeartbeatProcessor& reports);
+                      state::ClusterState& cluster_state, const config::Config& config,
+                      HeartbeatProcessor& heartbeats);
 
     // Sends to machines for which commands have been requested.
     void tick();
     // What the worker is to do now; what is started counts as sent.
-    std::vector<wire::TaskCommand> orders(state::Machine& machine, Channel channel);
+    std::vector<wire::TaskCommand> commands(state::Machine& machine, Channel channel);
     // Work that an unresponsive machine certainly has not got goes elsewhere.
     void drop_all_unsent(state::Machine& machine);
 
   private:
-    bool add_clears(const state::Machine& machine, std::vector<wire::TaskCommand>& orders) const;
-    static void add_stop(const state::Placement& placement, std::vector<wire::TaskCommand>& orders);
+    bool add_clears(const state::Machine& machine, std::vector<wire::TaskCommand>& commands) const;
+    static void add_stop(const state::Placement& placement,
+                         std::vector<wire::TaskCommand>& commands);
     static bool replaces_exited(const state::Machine& machine, const state::Placement& placement);
     void drop_unsent_to_stop(state::Machine& machine);
     void drop(state::Machine& machine, bool (*condition)(const state::Placement&));
     void send(state::Machine& machine);
-    void answered(const HostName& host, const CommandResult& result);
+    void answered(const MachineName& host, const CommandResult& result);
 
     sansio::Context& context_;
     coordination::Election& election_;
     state::ClusterState& state_;
-    HeartbeatProcessor& reports_;
+    HeartbeatProcessor& heartbeat_processor_;
     WorkerClient client_;
     std::size_t in_flight_ = 0;
     std::size_t max_in_flight_;
--- a/src/workers/heartbeat_processor.cpp
+++ b/src/workers/heartbeat_processor.cpp
@@ -25,81 +25,83 @@
 // After a worker that refused a task as it had no room.
 constexpr Millis kRefusedPause{2000};
 
-bool lists(const WorkerHeartbeat& report, const Placement& placement) {
-    return std::any_of(report.tasks.begin(), report.tasks.end(), [&](const TaskStatus& task) {
+bool lists(const WorkerHeartbeat& heartbeat, const Placement& placement) {
+    return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const TaskStatus& task) {
         return task.attempt == placement.attempt && task.task.index == placement.index &&
                task.task.job == placement.job->spec.id;
     });
 }
 
-bool lists_attempt(const WorkerHeartbeat& report, Attempt attempt) {
-    return std::any_of(report.tasks.begin(), report.tasks.end(),
+bool lists_attempt(const WorkerHeartbeat& heartbeat, Attempt attempt) {
+    return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
                        [&](const TaskStatus& task) { return task.attempt == attempt; });
 }
 }  // namespace
 
 HeartbeatProcessor::HeartbeatProcessor(sansio::Context& port, coordination::Election& election,
-                                       state::ClusterState& ledger,
+                                       state::ClusterState& cluster_state,
                                        std::function<void(const Finished&)> finished)
     : context_(port),
       election_(election),
-      state_(ledger),
-      failures_(port, ledger),
+      state_(cluster_state),
+      failures_(port, cluster_state),
       finished_(std::move(finished)) {}
 
 bool HeartbeatProcessor::of_this_term(const Placement& placement) const {
     return term_of(placement.attempt) == election_.term();
 }
 
-bool HeartbeatProcessor::apply(Machine& machine, const WorkerHeartbeat& report, Channel channel) {
-    if (report.token > make_token(election_.term(), machine.worker.fence_counter)) {
-        election_.depose(term_of(report.token));
+bool HeartbeatProcessor::apply(Machine& machine, const WorkerHeartbeat& heartbeat,
+                               Channel channel) {
+    if (heartbeat.token > make_token(election_.term(), machine.worker.fence_counter)) {
+        election_.depose(term_of(heartbeat.token));
         return false;
     }
     // A report that was held back on its way is older than one already applied.
-    if (machine.worker.reported && report.order <= machine.worker.last) return true;
-    if (!machine.worker.reported) {
+    if (machine.worker.heartbeat_received && heartbeat.order <= machine.worker.last) return true;
+    if (!machine.worker.heartbeat_received) {
         context_.log(LogLevel::info, "event=machine_up host={} type={} after_s={:.1f}",
                      machine.host.get(), machine.machine_type,
-                     to_seconds(context_.now() - machine.cloud.provisioned_at));
+                     to_seconds(context_.now() - machine.instance.provisioned_at));
         machine.idle_since = context_.now();
     }
-    update_lease(machine, report);
-    update_worker(machine, report);
-    if (report.eviction_s) apply_preemption_notice(machine, *report.eviction_s);
-    apply_listed(machine, report);
-    reconcile(machine, report, channel);
+    update_lease(machine, heartbeat);
+    update_worker(machine, heartbeat);
+    if (heartbeat.eviction_s) apply_preemption_notice(machine, *heartbeat.eviction_s);
+    apply_listed(machine, heartbeat);
+    reconcile(machine, heartbeat, channel);
     return true;
 }
 
-void HeartbeatProcessor::update_lease(Machine& machine, const WorkerHeartbeat& report) {
+void HeartbeatProcessor::update_lease(Machine& machine, const WorkerHeartbeat& heartbeat) {
     auto& worker = machine.worker;
     // A new session has a lease of its own, from when it began: not later than now.
-    if (worker.reported && report.order.session > worker.last.session) {
+    if (worker.heartbeat_received && heartbeat.order.agent_epoch > worker.last.agent_epoch) {
         worker.last_reply_at = context_.now();
     }
     // Until the worker showed this term, an earlier holder could renew its lease.
-    const auto shown = term_of(report.token);
-    if (shown == election_.term() && term_of(worker.shown) != shown) {
+    const auto acknowledged_token = term_of(heartbeat.token);
+    if (acknowledged_token == election_.term() &&
+        term_of(worker.acknowledged_token) != acknowledged_token) {
         worker.last_reply_at = context_.now();
     }
 }
 
-void HeartbeatProcessor::update_worker(Machine& machine, const WorkerHeartbeat& report) {
-    machine.worker.reported = true;
-    state_.describe(machine, report.machine_type, report.zone, report.spot);
-    machine.cloud.starting = false;
-    machine.worker.last = report.order;
-    machine.worker.shown = report.token;
+void HeartbeatProcessor::update_worker(Machine& machine, const WorkerHeartbeat& heartbeat) {
+    machine.worker.heartbeat_received = true;
+    state_.describe(machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot);
+    machine.instance.starting = false;
+    machine.worker.last = heartbeat.order;
+    machine.worker.acknowledged_token = heartbeat.token;
     machine.worker.last_heartbeat_at = context_.now();
-    machine.endpoint = report.endpoint;
+    machine.endpoint = heartbeat.endpoint;
 }
 
 void HeartbeatProcessor::apply_preemption_notice(Machine& machine, double eviction_s) {
     const auto at = context_.now() + from_seconds(eviction_s);
     if (!machine.preemption_at) {
-        context_.log(LogLevel::info, "event=notice host={} in_s={:.1f}", machine.host.get(),
-                     eviction_s);
+        context_.log(LogLevel::info, "event=preemption_notice host={} in_s={:.1f}",
+                     machine.host.get(), eviction_s);
     }
     machine.preemption_at = machine.preemption_at ? std::min(*machine.preemption_at, at) : at;
 }
@@ -107,11 +109,11 @@
 // ---- what the report lists ----
 
 // It is true whatever the token: an attempt that has exited stays exited.
-void HeartbeatProcessor::apply_listed(Machine& machine, const WorkerHeartbeat& report) {
+void HeartbeatProcessor::apply_listed(Machine& machine, const WorkerHeartbeat& heartbeat) {
     const auto known_exited = std::move(machine.worker.exited);
     machine.worker.exited.clear();
     machine.worker.unrecorded_tasks.clear();
-    for (const auto& task : report.tasks) {
+    for (const auto& task : heartbeat.tasks) {
         const Job* job = state_.find_job(task.task.job);
         const auto it =
             job ? machine.tasks.find({job->sequence, task.task.index}) : machine.tasks.end();
@@ -120,12 +122,12 @@
         if (task.phase == TaskPhase::exited) {
             apply_exited(machine, task, placement, known_exited);
         } else {
-            apply_unexited(machine, report, task, placement);
+            apply_unexited(machine, heartbeat, task, placement);
         }
     }
 }
 
-void HeartbeatProcessor::apply_unexited(Machine& machine, const WorkerHeartbeat& report,
+void HeartbeatProcessor::apply_unexited(Machine& machine, const WorkerHeartbeat& heartbeat,
                                         const TaskStatus& task, Placement* placement) {
     if (!placement) {
         machine.worker.unrecorded_tasks.push_back({task.task, task.attempt});
@@ -133,7 +135,7 @@
         return;
     }
     placement->seen = true;
-    placement->session = std::max(placement->session, report.order.session);
+    placement->agent_epoch = std::max(placement->agent_epoch, heartbeat.order.agent_epoch);
     placement->phase = task.phase;
     if (task.phase != TaskPhase::running) return;
     state_.set_running(*placement, true);
@@ -203,13 +205,13 @@
 
 // It is proof only if no command of an older token, no direct command under way and no check-in
 // answer still to be delivered can yet start the task.
-void HeartbeatProcessor::reconcile(Machine& machine, const WorkerHeartbeat& report,
+void HeartbeatProcessor::reconcile(Machine& machine, const WorkerHeartbeat& heartbeat,
                                    Channel channel) {
     bool answer_lost = false;
     std::vector<PlacementKey> gone;
     for (auto& [key, placement] : machine.tasks) {
         if (!placement.committed) continue;
-        const auto verdict = judge(machine, placement, report, channel);
+        const auto verdict = judge(machine, placement, heartbeat, channel);
         if (verdict == Verdict::gone) gone.push_back(key);
         if (verdict != Verdict::start_lost) continue;
         placement.sent = StartDelivery::not_sent;  // it may be sent again
@@ -224,16 +226,16 @@
 // A later session has forgotten the tasks of earlier ones, and takes no command of theirs. What an
 // earlier leader may have sent to this session counts until it is fenced off.
 bool HeartbeatProcessor::forgotten_with_session(const Placement& placement,
-                                                const WorkerHeartbeat& report) const {
-    const bool shows_term = term_of(report.token) == election_.term();
-    return placement.session != 0 && report.order.session > placement.session &&
-           (of_this_term(placement) || shows_term) && !lists_attempt(report, placement.attempt);
+                                                const WorkerHeartbeat& heartbeat) const {
+    const bool shows_term = term_of(heartbeat.token) == election_.term();
+    return placement.agent_epoch != 0 && heartbeat.order.agent_epoch > placement.agent_epoch &&
+           (of_this_term(placement) || shows_term) && !lists_attempt(heartbeat, placement.attempt);
 }
 
 HeartbeatProcessor::Verdict HeartbeatProcessor::judge(const Machine& machine, Placement& placement,
-                                                      const WorkerHeartbeat& report,
+                                                      const WorkerHeartbeat& heartbeat,
                                                       Channel channel) const {
-    if (forgotten_with_session(placement, report)) return Verdict::gone;
+    if (forgotten_with_session(placement, heartbeat)) return Verdict::gone;
     if (channel == Channel::heartbeat) placement.in_heartbeat_reply = false;
     const auto sent = placement.sent;
     if (sent == StartDelivery::not_sent || sent == StartDelivery::in_direct_command)
@@ -243,9 +245,9 @@
     const bool lost_start = !placement.seen && sent == StartDelivery::in_heartbeat_reply &&
                             channel == Channel::heartbeat;
     const bool shows_token =
-        report.token == make_token(election_.term(), machine.worker.fence_counter);
+        heartbeat.token == make_token(election_.term(), machine.worker.fence_counter);
     if (!shows_token && !lost_start) return Verdict::unknown;
-    if (lists(report, placement)) {
+    if (lists(heartbeat, placement)) {
         placement.sent = StartDelivery::awaiting_confirmation;
         return Verdict::unknown;
     }
--- a/src/workers/heartbeat_processor.hpp
+++ b/src/workers/heartbeat_processor.hpp
@@ -33,29 +33,31 @@
 class HeartbeatProcessor {
   public:
     HeartbeatProcessor(sansio::Context& port, coordination::Election& election,
-                       state::ClusterState& ledger, std::function<void(const Finished&)> finished);
+                       state::ClusterState& cluster_state,
+                       std::function<void(const Finished&)> finished);
 
     // Returns false if the report shows that this leader has been superseded. An older report than
     // the last changes nothing.
-    bool apply(state::Machine& machine, const wire::WorkerHeartbeat& report, Channel channel);
+    bool apply(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat, Channel channel);
 
   private:
     // What follows from a report for a placement.
     enum class Verdict : std::uint8_t { unknown, gone, start_lost };
 
-    void update_lease(state::Machine& machine, const wire::WorkerHeartbeat& report);
-    void update_worker(state::Machine& machine, const wire::WorkerHeartbeat& report);
+    void update_lease(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+    void update_worker(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
     void apply_preemption_notice(state::Machine& machine, double eviction_s);
-    void apply_listed(state::Machine& machine, const wire::WorkerHeartbeat& report);
-    void apply_unexited(state::Machine& machine, const wire::WorkerHeartbeat& report,
+    void apply_listed(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+    void apply_unexited(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                         const wire::TaskStatus& task, state::Placement* placement);
     void apply_exited(state::Machine& machine, const wire::TaskStatus& task,
                       state::Placement* placement, const std::vector<state::ExitedTask>& known);
-    void reconcile(state::Machine& machine, const wire::WorkerHeartbeat& report, Channel channel);
+    void reconcile(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                   Channel channel);
     Verdict judge(const state::Machine& machine, state::Placement& placement,
-                  const wire::WorkerHeartbeat& report, Channel channel) const;
+                  const wire::WorkerHeartbeat& heartbeat, Channel channel) const;
     bool forgotten_with_session(const state::Placement& placement,
-                                const wire::WorkerHeartbeat& report) const;
+                                const wire::WorkerHeartbeat& heartbeat) const;
     void exited(state::Machine& machine, state::Placement& placement, const wire::TaskStatus& task);
     bool of_this_term(const state::Placement& placement) const;
 
--- a/src/workers/worker_client.cpp
+++ b/src/workers/worker_client.cpp
@@ -9,26 +9,26 @@
 }  // namespace
 
 void WorkerClient::send(const state::Machine& machine, FencingToken token,
-                        const std::vector<wire::TaskCommand>& orders,
+                        const std::vector<wire::TaskCommand>& commands,
                         std::function<void(const CommandResult&)> then) {
-    auto body = wire::encode_commands(token, machine.worker.last.session, orders);
+    auto body = wire::encode_commands(token, machine.worker.last.agent_epoch, commands);
     context_.call(sansio::Destination::worker, machine.endpoint, "POST", "/commands",
                   std::move(body), kTimeout,
                   [this, host = machine.host, then = std::move(then)](
                       const sansio::HttpResult& reply) { then(read(host, reply)); });
 }
 
-CommandResult WorkerClient::read(const HostName& host, const sansio::HttpResult& reply) {
+CommandResult WorkerClient::read(const MachineName& host, const sansio::HttpResult& reply) {
     const bool refused = reply.status == 409 || reply.status == 400;
     CommandResult result{refused || reply.unsent(), std::nullopt};
     if (reply.status != 200 && reply.status != 409) return result;
     try {
         const auto doc = wire::Document::need(reply.body);
-        auto report = wire::decode_worker_heartbeat(doc.root());
-        if (report.host == host) result.report = std::move(report);
+        auto heartbeat = wire::decode_worker_heartbeat(doc.root());
+        if (heartbeat.host == host) result.heartbeat = std::move(heartbeat);
     } catch (const wire::DecodeError& e) {
-        context_.log(sansio::LogLevel::error, "event=bad_report host={} error=\"{}\"", host.get(),
-                     e.what());
+        context_.log(sansio::LogLevel::error, "event=invalid_worker_heartbeat host={} error=\"{}\"",
+                     host.get(), e.what());
     }
     return result;
 }
--- a/src/workers/worker_client.hpp
+++ b/src/workers/worker_client.hpp
@@ -15,7 +15,7 @@
     // Certainly not executed, now or later. Without it they may have been, or may yet be.
     bool unexecuted = false;
     // The worker's report after the commands.
-    std::optional<wire::WorkerHeartbeat> report;
+    std::optional<wire::WorkerHeartbeat> heartbeat;
 };
 
 class WorkerClient {
@@ -23,11 +23,11 @@
     explicit WorkerClient(sansio::Context& port) : context_(port) {}
 
     void send(const state::Machine& machine, FencingToken token,
-              const std::vector<wire::TaskCommand>& orders,
+              const std::vector<wire::TaskCommand>& commands,
               std::function<void(const CommandResult&)> then);
 
   private:
-    CommandResult read(const HostName& host, const sansio::HttpResult& reply);
+    CommandResult read(const MachineName& host, const sansio::HttpResult& reply);
 
     sansio::Context& context_;
 };
--- a/src/workers/worker_conditions.hpp
+++ b/src/workers/worker_conditions.hpp
@@ -18,7 +18,7 @@
 
 // Its reports arrive, but it acknowledges no answer.
 inline bool unresponsive(const state::Machine& machine) {
-    return machine.worker.unacknowledged >= kMaxUnacknowledged;
+    return machine.worker.unacknowledged_replies >= kMaxUnacknowledged;
 }
 
 inline bool must_stop(const state::Placement& placement) {
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -29,14 +29,14 @@
 }  // namespace
 
 WorkerManager::WorkerManager(sansio::Context& port, coordination::Election& election,
-                             state::ClusterState& ledger, const config::Config& config,
+                             state::ClusterState& cluster_state, const config::Config& config,
                              std::function<void(const Finished&)> finished)
     : context_(port),
       election_(election),
-      state_(ledger),
+      state_(cluster_state),
       config_(config),
-      reports_(port, election, ledger, std::move(finished)),
-      commands_(port, election, ledger, config, reports_) {}
+      heartbeat_processor_(port, election, cluster_state, std::move(finished)),
+      commands_(port, election, cluster_state, config, heartbeat_processor_) {}
 
 void WorkerManager::reset() {
     deleted_.clear();
@@ -50,17 +50,18 @@
 // ---- state of a machine ----
 
 bool WorkerManager::shown_this_term(const Machine& machine) const {
-    return term_of(machine.worker.shown) == election_.term();
+    return term_of(machine.worker.acknowledged_token) == election_.term();
 }
 
 bool WorkerManager::silent(const Machine& machine, Millis limit) const {
     const auto& worker = machine.worker;
-    return context_.now() - (worker.reported ? worker.last_heartbeat_at : worker.known_since) >
+    return context_.now() -
+               (worker.heartbeat_received ? worker.last_heartbeat_at : worker.first_known_at) >
            limit;
 }
 
 bool WorkerManager::late(const Machine& machine) const {
-    return silent(machine, config_.report * 2 + kLateMargin);
+    return silent(machine, config_.heartbeat_interval * 2 + kLateMargin);
 }
 
 Millis WorkerManager::unresponsive_for(const Machine& machine) const {
@@ -69,16 +70,16 @@
 
 bool WorkerManager::usable(const Machine& machine) const {
     const auto& worker = machine.worker;
-    const bool releasing = machine.cordoned || machine.cloud.deleting || machine.cloud.failed ||
-                           machine.preemption_at.has_value();
-    const bool in_touch =
-        worker.reported && shown_this_term(machine) && !late(machine) && !unresponsive(machine);
+    const bool releasing = machine.cordoned || machine.instance.deleting ||
+                           machine.instance.failed || machine.preemption_at.has_value();
+    const bool in_touch = worker.heartbeat_received && shown_this_term(machine) && !late(machine) &&
+                          !unresponsive(machine);
     // Direct commands do not renew the lease: without check-ins it runs out.
-    const bool lease_lasts = context_.now() - worker.last_reply_at <= config_.lease / 2;
+    const bool lease_lasts = context_.now() - worker.last_reply_at <= config_.worker_lease / 2;
     return in_touch && !releasing && lease_lasts && context_.now() >= worker.refused_until;
 }
 
-void WorkerManager::mark_released(const HostName& host) {
+void WorkerManager::mark_released(const MachineName& host) {
     deleted_[host] = context_.now();
     std::erase_if(deleted_,
                   [&](const auto& d) { return context_.now() - d.second > kRememberDeleted; });
@@ -97,63 +98,65 @@
     context_.answer(id, 503, wire::encode_error(why), kRetryAfter_s);
 }
 
-void WorkerManager::checkin(RequestId id, const wire::WorkerHeartbeat& report) {
-    auto* machine = machine_of(id, report);
+void WorkerManager::checkin(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
+    auto* machine = machine_of(id, heartbeat);
     if (!machine) return;
     auto& worker = machine->worker;
     // A worker's check-ins come in order, one at a time: this is a late copy, or one that it has
     // given up. Nobody waits for the answer, and it must not count as one.
-    if (worker.reported && report.order <= worker.last_heartbeat_request) {
+    if (worker.heartbeat_received && heartbeat.order <= worker.last_heartbeat_request) {
         refuse(id, "overtaken");
         return;
     }
-    worker.last_heartbeat_request = report.order;
-    if (!reports_.apply(*machine, report, Channel::heartbeat)) {
+    worker.last_heartbeat_request = heartbeat.order;
+    if (!heartbeat_processor_.apply(*machine, heartbeat, Channel::heartbeat)) {
         refuse(id, "superseded");
         return;
     }
     count_unacknowledged(*machine);
     worker.last_reply_at = context_.now();
     // The worker has given up on a report that newer ones overtook: it will not read the answer.
-    std::vector<wire::TaskCommand> orders;
-    if (worker.last == report.order) orders = commands_.orders(*machine, Channel::heartbeat);
-    context_.answer(id, 200, wire::encode_heartbeat_reply(token(*machine), orders));
+    std::vector<wire::TaskCommand> commands;
+    if (worker.last == heartbeat.order) commands = commands_.commands(*machine, Channel::heartbeat);
+    context_.answer(id, 200, wire::encode_heartbeat_reply(token(*machine), commands));
 }
 
 // The machine that reports; null if the request is answered already.
-Machine* WorkerManager::machine_of(RequestId id, const wire::WorkerHeartbeat& report) {
-    if (was_released(report.host)) {
+Machine* WorkerManager::machine_of(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
+    if (was_released(heartbeat.host)) {
         refuse(id, "returned");
         return nullptr;
     }
-    if (auto* known = state_.find_machine(report.host)) return known;
-    if (answer_unknown_worker(id, report)) return nullptr;
+    if (auto* known = state_.find_machine(heartbeat.host)) return known;
+    if (answer_unknown_worker(id, heartbeat)) return nullptr;
     // Rented by a request whose answer was lost, or before this term: used, or returned idle.
-    context_.log(LogLevel::info, "event=machine_unexpected host={}", report.host.get());
-    return &state_.add_machine(report.host, report.machine_type, report.zone, report.spot);
+    context_.log(LogLevel::info, "event=unrecorded_machine host={}", heartbeat.host.get());
+    return &state_.add_machine(heartbeat.host, heartbeat.machine_type, heartbeat.zone,
+                               heartbeat.spot);
 }
 
 void WorkerManager::count_unacknowledged(Machine& machine) const {
     auto& worker = machine.worker;
-    if (worker.shown == token(machine)) {
-        worker.unacknowledged = 0;
-    } else if (worker.unacknowledged++ == 0) {
+    if (worker.acknowledged_token == token(machine)) {
+        worker.unacknowledged_replies = 0;
+    } else if (worker.unacknowledged_replies++ == 0) {
         worker.unacknowledged_since = context_.now();
     }
 }
 
 // A host that no record names: a late report of a machine that is long gone must not bring it
 // back. It is given the token, and used once it shows it.
-bool WorkerManager::answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& report) {
-    if (term_of(report.token) == election_.term()) {
-        unknown_workers_.erase(report.host);
+bool WorkerManager::answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
+    if (term_of(heartbeat.token) == election_.term()) {
+        unknown_workers_.erase(heartbeat.host);
         return false;
     }
-    if (unknown_workers_.size() >= kMaxUnknownWorkers && !unknown_workers_.contains(report.host)) {
+    if (unknown_workers_.size() >= kMaxUnknownWorkers &&
+        !unknown_workers_.contains(heartbeat.host)) {
         refuse(id, "too many unknown workers");
         return true;
     }
-    unknown_workers_.try_emplace(report.host, context_.now());
+    unknown_workers_.try_emplace(heartbeat.host, context_.now());
     context_.answer(id, 200, wire::encode_heartbeat_reply(make_token(election_.term(), 0), {}));
     return true;
 }
@@ -161,11 +164,11 @@
 // ---- time ----
 
 void WorkerManager::expire_lease(Machine& machine) {
-    if (!machine.worker.reported || !shown_this_term(machine)) return;
-    const auto lease_ms = static_cast<double>(config_.lease.count()) * kDrift;
+    if (!machine.worker.heartbeat_received || !shown_this_term(machine)) return;
+    const auto lease_ms = static_cast<double>(config_.worker_lease.count()) * kDrift;
     const auto lease = Millis(static_cast<std::int64_t>(lease_ms)) + kLeaseMargin;
     if (context_.now() - machine.worker.last_reply_at <= lease || machine.tasks.empty()) return;
-    context_.log(LogLevel::info, "event=lease_over host={} tasks={}", machine.host.get(),
+    context_.log(LogLevel::info, "event=lease_expired host={} tasks={}", machine.host.get(),
                  machine.tasks.size());
     std::vector<PlacementKey> gone;
     for (const auto& [key, placement] : machine.tasks) {
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -24,11 +24,11 @@
 class WorkerManager {
   public:
     WorkerManager(sansio::Context& port, coordination::Election& election,
-                  state::ClusterState& ledger, const config::Config& config,
+                  state::ClusterState& cluster_state, const config::Config& config,
                   std::function<void(const Finished&)> finished);
 
     // Answers a worker's report with its orders.
-    void checkin(RequestId id, const wire::WorkerHeartbeat& report);
+    void checkin(RequestId id, const wire::WorkerHeartbeat& heartbeat);
     void tick();
     // Another term begins.
     void reset();
@@ -45,13 +45,13 @@
     // Stops the task. It may save its state for so long first.
     void stop(state::Machine& machine, state::Placement& placement, double grace_s);
     // The cloud has deleted the machine at the service's wish: late reports must not revive it.
-    void mark_released(const HostName& host);
-    bool was_released(const HostName& host) const { return deleted_.contains(host); }
+    void mark_released(const MachineName& host);
+    bool was_released(const MachineName& host) const { return deleted_.contains(host); }
 
   private:
-    state::Machine* machine_of(RequestId id, const wire::WorkerHeartbeat& report);
+    state::Machine* machine_of(RequestId id, const wire::WorkerHeartbeat& heartbeat);
     bool shown_this_term(const state::Machine& machine) const;
-    bool answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& report);
+    bool answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& heartbeat);
     void count_unacknowledged(state::Machine& machine) const;
     void refuse(RequestId id, const char* why);
     FencingToken token(const state::Machine& machine) const;
@@ -62,10 +62,10 @@
     coordination::Election& election_;
     state::ClusterState& state_;
     const config::Config& config_;
-    HeartbeatProcessor reports_;
+    HeartbeatProcessor heartbeat_processor_;
     CommandDispatcher commands_;
-    std::map<HostName, Instant> deleted_;
-    std::map<HostName, Instant> unknown_workers_;  // and when they were first answered
+    std::map<MachineName, Instant> deleted_;
+    std::map<MachineName, Instant> unknown_workers_;  // and when they were first answered
     Instant next_sweep_{};
 };
 
--- a/tests/boot_monitor_test.cpp
+++ b/tests/boot_monitor_test.cpp
@@ -15,22 +15,22 @@
     sim::ClusterStateFixture world;
     CloudClient cloud{world.port, 5};
     MachineTypeCatalog types{world.port, cloud};
-    BootMonitor monitor{world.port, world.ledger, types};
+    BootMonitor monitor{world.port, world.cluster_state, types};
     int machines = 0;
 
     state::Machine& rent(const std::string& zone = "a") {
         auto& machine = world.add_machine(++machines, zone);
-        machine.cloud.awaited = true;
+        machine.instance.boot_tracked = true;
         return machine;
     }
     void come_up(state::Machine& machine) {
-        machine.worker.reported = true;
-        machine.cloud.starting = false;
+        machine.worker.heartbeat_received = true;
+        machine.instance.starting = false;
         monitor.update();
     }
     std::size_t replaced() {
         std::size_t count = 0;
-        for (const auto& [host, machine] : world.ledger.machines()) {
+        for (const auto& [host, machine] : world.cluster_state.machines()) {
             count += monitor.to_replace(machine) ? 1 : 0;
         }
         return count;
@@ -115,7 +115,7 @@
 // What an earlier leader rented is judged by when it was rented, and says nothing of boot times.
 TEST_F(BootMonitorTest, MachinesOfAnEarlierLeaderAreJudgedToo) {
     auto& machine = world.add_machine(1);
-    machine.cloud.provisioned_at = world.now - from_seconds(3 * kNominal_s);
+    machine.instance.provisioned_at = world.now - from_seconds(3 * kNominal_s);
     monitor.update();
     EXPECT_TRUE(monitor.to_replace(machine));
     come_up(machine);
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -15,8 +15,8 @@
 
 const wire::TaskCommand* find(const wire::CommandBatch& commands, CommandKind verb,
                               const TaskRef& task) {
-    for (const auto& o : commands.orders) {
-        if (o.verb == verb && o.task == task) return &o;
+    for (const auto& o : commands.commands) {
+        if (o.kind == verb && o.task == task) return &o;
     }
     return nullptr;
 }
@@ -55,7 +55,7 @@
     const auto* start = find(answer, CommandKind::start, {second.id, 0});
     EXPECT_NE(start, nullptr);
     if (start) sent.start = *start;
-    sent.worker.report.tasks.push_back(running(s.directs().at(0).commands.orders.at(0)));
+    sent.worker.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
     s.answer(s.directs()[0], 200, sent.worker.next());
     s.run(Millis(60));
     EXPECT_EQ(s.directs().size(), 1u);
@@ -94,7 +94,7 @@
     auto w = machine_for(s, job(1));
     ASSERT_EQ(s.directs().size(), 1u);
     const auto direct = s.directs()[0];
-    w.report.tasks.push_back(running(direct.commands.orders.at(0)));
+    w.report.tasks.push_back(running(direct.commands.commands.at(0)));
     s.answer(direct, 200, w.next());
     s.run(Millis(60));
     w.report.tasks.back().phase = TaskPhase::exited;
@@ -161,7 +161,7 @@
     first.cores = second.cores = 16;  // the whole machine
     ASSERT_EQ(s.submit(first), 201);
     auto w = ready_machine(s, 0);
-    w.report.tasks.push_back(running(s.directs().at(0).commands.orders.at(0)));
+    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
     s.answer(s.directs()[0], 200, w.next());
     ASSERT_EQ(s.submit(second), 201);
     s.run(Millis(500));
@@ -188,12 +188,12 @@
     const auto host = w.report.host;
     s.cloud().set_outage(true);
     s.run(Millis(40000));
-    ASSERT_TRUE(s.logged("event=machine_return host=" + host.get()));
+    ASSERT_TRUE(s.logged("event=scale_in host=" + host.get()));
     ASSERT_FALSE(s.returned(host));
     s.stall_process(Millis(9000));
     s.run(Millis(3000));
     ASSERT_TRUE(s.leads());
-    w.report.order.session = 2;
+    w.report.order.agent_epoch = 2;
     show_token(s, w);
     s.cloud().set_outage(false);
     for (int i = 0; i < 10; ++i) {
@@ -213,7 +213,7 @@
     wire::Writer lead;
     lead.map(3).text("node").text("node-9").text("incarnation").text("x").text("term").count(9);
     s.write("lead", lead.take());
-    w.report.tasks.push_back(running(s.directs().at(0).commands.orders.at(0)));
+    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
     w.report.tasks.back().phase = TaskPhase::exited;
     w.report.tasks.back().reason = ExitReason::done;
     s.checkin(w.next());
@@ -275,7 +275,7 @@
     ASSERT_EQ(s.submit(big), 201);
     auto w = s.machine(0);
     auto other = ready_machine(s, 1);
-    const auto a = s.directs().at(0).commands.orders.at(0);
+    const auto a = s.directs().at(0).commands.commands.at(0);
     other.report.tasks.push_back(running(a));
     s.answer(s.directs()[0], 200, other.next());
     show_token(s, w);
@@ -299,7 +299,7 @@
     auto w = s.machine(0);
     const auto oldest = wire::encode(w.report);
     show_token(s, w);
-    const auto a = s.directs().at(0).commands.orders.at(0);
+    const auto a = s.directs().at(0).commands.commands.at(0);
     const auto without = w.next();
     s.checkin(without);
     w.report.tasks.push_back(running(a));
@@ -312,9 +312,9 @@
         s.run(Millis(1000));
         ASSERT_EQ(s.recorded_on(j.id), Hosts{w.report.host.get()});
     }
-    EXPECT_FALSE(s.logged("event=lease_over"));
+    EXPECT_FALSE(s.logged("event=lease_expired"));
     s.run(Millis(2500));
-    EXPECT_TRUE(s.logged("event=lease_over"));
+    EXPECT_TRUE(s.logged("event=lease_expired"));
     s.run(Millis(20000));
     ASSERT_TRUE(s.returned(w.report.host));
 
@@ -339,7 +339,7 @@
 TEST(ControllerTest, ANewLeaderWaitsForIdleMachinesToReport) {
     ControllerHarness s(1);
     auto w = machine_for(s, job(1));
-    w.report.tasks.push_back(running(s.directs().at(0).commands.orders.at(0)));
+    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
     s.answer(s.directs()[0], 200, w.next());
     for (int i = 0; i < 45; ++i) {
         ASSERT_EQ(s.checkin(w.next()).first, 200);
@@ -362,13 +362,13 @@
     ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
-    const auto a = s.directs().at(0).commands.orders.at(0);
+    const auto a = s.directs().at(0).commands.commands.at(0);
     w.report.tasks.push_back(running(a));
     const auto earlier = w.next();
     s.checkin(earlier);
     s.run(Millis(2000));  // the command is given up: the token rises, the worker does not see it
     w.report.tasks.clear();
-    ++w.report.order.session;
+    ++w.report.order.agent_epoch;
     const auto orders = s.checkin(w.next()).second;
     s.run(Millis(400));
     EXPECT_NE(s.checkin(earlier).first, 200);
@@ -387,7 +387,7 @@
     ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
-    w.report.tasks.push_back(running(s.directs().at(0).commands.orders.at(0)));
+    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
     s.answer(s.directs()[0], 200, w.next());
     s.run(Millis(2000));
     s.restart();
@@ -396,7 +396,7 @@
     // Its answer is lost, and nothing else is heard of it for more than a lease.
     ASSERT_EQ(s.checkin(w.next()).first, 200);
     s.run(Millis(17000));
-    EXPECT_FALSE(s.logged("event=lease_over"));
+    EXPECT_FALSE(s.logged("event=lease_expired"));
     EXPECT_EQ(s.recorded_on(j.id), Hosts{w.report.host.get()});
 }
 
@@ -408,19 +408,19 @@
     const auto first = job(1);
     const auto second = job(2);
     auto w = machine_for(s, first);
-    w.report.tasks.push_back(running(s.directs().at(0).commands.orders.at(0)));
+    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
     s.answer(s.directs()[0], 200, w.next());
     s.run(Millis(14700));
     ASSERT_EQ(s.ask("POST", "/v1/jobs/" + first.id.get() + "/abort", {}).status, 200);
     s.run(Millis(60));
     ASSERT_EQ(s.directs().size(), 1u);
     w.report.tasks.clear();
-    ++w.report.order.session;
+    ++w.report.order.agent_epoch;
     s.answer(s.directs()[0], 409, w.next());
     ASSERT_EQ(s.submit(second), 201);
     s.run(Millis(200));
     ASSERT_EQ(s.directs().size(), 1u);
-    w.report.tasks.push_back(running(s.directs()[0].commands.orders.at(0)));
+    w.report.tasks.push_back(running(s.directs()[0].commands.commands.at(0)));
     s.answer(s.directs()[0], 200, w.next());
     s.run(Millis(4000));
     EXPECT_EQ(s.recorded_on(second.id), Hosts{w.report.host.get()});
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -56,7 +56,7 @@
 // An older version that may yet lead would start its tasks at once.
 TEST(Dependencies, NothingIsAcceptedWhileAControllerMayBeOld) {
     auto config = ControllerHarness::config();
-    config.known.push_back({NodeName("node-1"), "a", "node-1"});
+    config.peers.push_back({ControllerName("node-1"), "a", "node-1"});
     ControllerHarness s(1, config);
     s.run(Millis(3000));
     ASSERT_EQ(s.submit(job(1)), 201);
@@ -159,11 +159,11 @@
     auto& last = add(3, wire::Priority::idle, {first.spec.id, second.spec.id}, due);
     context_.advance_clock(Instant{} + Millis(5000), 0);
     graph_.ended(second.spec.id, wire::JobPhase::done);
-    EXPECT_TRUE(last.waits());
+    EXPECT_TRUE(last.is_blocked());
     context_.advance_clock(Instant{} + Millis(9000), 0);
     graph_.ended(first.spec.id, wire::JobPhase::done);
-    EXPECT_FALSE(last.waits());
-    EXPECT_EQ(last.ready_at, Instant{} + Millis(9000));
+    EXPECT_FALSE(last.is_blocked());
+    EXPECT_EQ(last.runnable_since, Instant{} + Millis(9000));
     EXPECT_EQ(last.latest_end, due);
     EXPECT_TRUE(cancelled_.empty());
 }
@@ -193,7 +193,7 @@
     waiting.priority = wire::Priority::urgent;
     ASSERT_EQ(s.submit(waiting), 201);
     s.run(Millis(20000));
-    EXPECT_FALSE(s.logged("event=rented"));
+    EXPECT_FALSE(s.logged("event=scale_out"));
     EXPECT_EQ(s.phase(waiting.id), "pending");
     auto other = job(2);
     other.team = "few";
@@ -228,7 +228,7 @@
 // The limits that a deployment may announce: 64 preconditions, and values of 2 KiB.
 config::Config small_limits() {
     auto config = ControllerHarness::config();
-    config.state = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 80, 2, 16});
+    config.kv_limits = config::KvLimits({200, 80, 16, 48}, config::KvLimits::Set{200, 80, 2, 16});
     return config;
 }
 
@@ -310,7 +310,7 @@
     EXPECT_EQ(s.phase(job(1).id), "pending");
     s.state().set_watches_stalled(true);
     end_elsewhere(s, many[77], wire::JobPhase::cancelled);
-    s.run(ControllerHarness::config().cancel / 4);
+    s.run(ControllerHarness::config().cancellation_deadline / 4);
     EXPECT_EQ(s.phase(job(1).id), "withdrawn");
 }
 
@@ -326,7 +326,7 @@
         s.run(Millis(200));
     }
     ASSERT_EQ(s.ask("POST", "/v1/jobs/" + job(1).id.get() + "/abort", {}).status, 200);
-    s.run(ControllerHarness::config().cancel / 2);
+    s.run(ControllerHarness::config().cancellation_deadline / 2);
     for (int n = 2; n <= length; ++n) EXPECT_EQ(s.phase(job(n).id), "withdrawn") << n;
     EXPECT_EQ(s.state().violations(), 0u);
 }
@@ -361,7 +361,7 @@
 // told to come back.
 TEST(ManyAncestors, IsNotAcceptedBeforeItsFormatIsInForce) {
     auto config = small_limits();
-    config.format = config::kRangeFormat;
+    config.newest_record_format = config::kRangeFormat;
     ControllerHarness s(1, config);
     set_small_limits(s);
     s.run(kSettled);
@@ -375,7 +375,7 @@
 // An older version that has read the mark does not lead.
 TEST(ManyAncestors, TheVersionBeforeStopsAtTheMark) {
     auto config = ControllerHarness::config();
-    config.format = config::kRangeFormat;
+    config.newest_record_format = config::kRangeFormat;
     ControllerHarness s(1, config);
     s.write(kv::kFormatMark,
             wire::Writer().map(1).text("v").count(config::kSplitDependencyFormat).take());
@@ -418,7 +418,7 @@
     auto options = random_scenario_options(GetParam());
     options.pipelines = 8;
     options.fan_in = 24;
-    options.limits = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 80, 2, 5});
+    options.limits = config::KvLimits({200, 80, 16, 48}, config::KvLimits::Set{200, 80, 2, 5});
     SimulatedCluster world(options);
     run_random_scenario(world, GetParam());
     expect_completed(world);
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -10,7 +10,7 @@
 
 struct FailureAttributionTest : testing::Test {
     sim::ClusterStateFixture world;
-    FailureAttribution attribution{world.port, world.ledger};
+    FailureAttribution attribution{world.port, world.cluster_state};
 
     // The job fails on so many machines, each of which is new.
     void fail_on_new_machines(state::Job& job, int count) {
@@ -23,11 +23,11 @@
     auto& job = world.add_job(1, 50);
     fail_on_new_machines(job, 2);
     EXPECT_FALSE(job.failures.faulty);
-    EXPECT_EQ(job.placeable(), 50u);
+    EXPECT_EQ(job.placeable_tasks(), 50u);
     fail_on_new_machines(job, 1);
     EXPECT_TRUE(job.failures.faulty);
-    EXPECT_EQ(job.placeable(), 2u);
-    for (const auto& [host, machine] : world.ledger.machines()) {
+    EXPECT_EQ(job.placeable_tasks(), 2u);
+    for (const auto& [host, machine] : world.cluster_state.machines()) {
         EXPECT_FALSE(machine.cordoned);
         EXPECT_TRUE(machine.worker.failures.empty());
     }
@@ -37,10 +37,10 @@
     auto& job = world.add_job(1, 50);
     fail_on_new_machines(job, 3);
     auto& machine = world.add_machine(1);
-    world.ledger.place(job, machine);
-    EXPECT_EQ(job.placeable(), 1u);
-    world.ledger.place(job, machine);
-    EXPECT_EQ(job.placeable(), 0u);
+    world.cluster_state.place(job, machine);
+    EXPECT_EQ(job.placeable_tasks(), 1u);
+    world.cluster_state.place(job, machine);
+    EXPECT_EQ(job.placeable_tasks(), 0u);
 }
 
 TEST_F(FailureAttributionTest, AJobThatSucceedsAgainRunsAtFullWidthAtOnce) {
@@ -49,7 +49,7 @@
     ASSERT_TRUE(job.failures.faulty);
     attribution.succeeded(job, world.add_machine(1));
     EXPECT_FALSE(job.failures.faulty);
-    EXPECT_EQ(job.placeable(), 50u);
+    EXPECT_EQ(job.placeable_tasks(), 50u);
     EXPECT_LE(job.backoff_until, world.now);
 }
 
@@ -66,7 +66,7 @@
 TEST_F(FailureAttributionTest, AJobThatSucceedsElsewhereWeighsMore) {
     auto& job = world.add_job(1, 50);
     auto& machine = world.add_machine(1);
-    world.ledger.mark_done(job, 0);
+    world.cluster_state.mark_done(job, 0);
     attribution.failed(job, machine);
     EXPECT_FALSE(machine.cordoned);
     attribution.failed(job, machine);
@@ -85,7 +85,8 @@
     }
     EXPECT_TRUE(first.failures.faulty);
     EXPECT_TRUE(second.failures.faulty);
-    for (const auto& [host, machine] : world.ledger.machines()) EXPECT_FALSE(machine.cordoned);
+    for (const auto& [host, machine] : world.cluster_state.machines())
+        EXPECT_FALSE(machine.cordoned);
 }
 
 TEST_F(FailureAttributionTest, AFaultyMachineIsFoundWhileFaultyJobsAreAbout) {
@@ -95,7 +96,7 @@
     fail_on_new_machines(faulty_job, 3);
     ASSERT_TRUE(faulty_job.failures.faulty);
     auto& healthy = world.add_job(2, 20);
-    world.ledger.mark_done(healthy, 0);
+    world.cluster_state.mark_done(healthy, 0);
     attribution.failed(healthy, machine);
     attribution.failed(faulty_job, machine);  // says nothing about the machine any more
     EXPECT_FALSE(machine.cordoned);
--- a/tests/placement_and_scaling_test.cpp
+++ b/tests/placement_and_scaling_test.cpp
@@ -149,7 +149,7 @@
 // Two nodes that hear each other's log, one a little later, must not keep an end in it for ever.
 TEST(CancellationLogTest, DoNotGoRoundBetweenNodes) {
     config::Config config;
-    config.cancel = Millis(20000);
+    config.cancellation_deadline = Millis(20000);
     sansio::Context ports[2]{{1, sansio::LogLevel::info}, {2, sansio::LogLevel::info}};
     coordination::CancellationLog logs[2]{{ports[0], config}, {ports[1], config}};
     Instant now(Millis(1000));
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -59,17 +59,17 @@
 TEST_F(FilesTest, SettingsAreReadAndUnknownFieldsIgnored) {
     const auto config = load_settings(write("good.toml", settings()), {});
     EXPECT_EQ(config.name.get(), "n0");
-    EXPECT_EQ(config.lease, Millis(30000));
+    EXPECT_EQ(config.worker_lease, Millis(30000));
     ASSERT_EQ(config.teams.size(), 1u);
     EXPECT_DOUBLE_EQ(config.teams[0].cpus_max, 16);
 }
 
 TEST_F(FilesTest, LimitsOfTheStateServiceToCome) {
-    const auto today = load_settings(write("today.toml", settings()), {}).state;
+    const auto today = load_settings(write("today.toml", settings()), {}).kv_limits;
     EXPECT_EQ(today.value_bytes(), 16u * 1024);
     EXPECT_EQ(today.max_preconditions(), 192u);
     const auto next = settings() + "[cluster.state.next]\nvalue_kb = 2\ntxn_ops = 16\nrps = 900\n";
-    const auto lower = load_settings(write("next.toml", next), {}).state;
+    const auto lower = load_settings(write("next.toml", next), {}).kv_limits;
     EXPECT_EQ(lower.value_bytes(), 2u * 1024);
     EXPECT_EQ(lower.value_bytes_now(false), 16u * 1024);
     EXPECT_EQ(lower.value_bytes_now(true), 2u * 1024);
--- a/tests/service_interface_test.cpp
+++ b/tests/service_interface_test.cpp
@@ -69,8 +69,8 @@
 // that is longer than `cancel_s`, only its deletion ends them in time.
 TEST(ControllerTest, ASilentMachineWithCancelledTasksIsDeletedInTime) {
     auto config = ControllerHarness::config();
-    config.cancel = Millis(20000);
-    config.lease = Millis(100000);
+    config.cancellation_deadline = Millis(20000);
+    config.worker_lease = Millis(100000);
     ControllerHarness s(1, config);
     s.run(Millis(3000));
     const auto cancelled = job(1);
@@ -79,7 +79,7 @@
     play(s, {&w}, 3);
     ASSERT_EQ(s.recorded_on(cancelled.id), Hosts{w.report.host.get()});
     ASSERT_EQ(s.ask("POST", "/v1/jobs/" + cancelled.id.get() + "/abort", {}).status, 200);
-    s.run(config.cancel);
+    s.run(config.cancellation_deadline);
     EXPECT_TRUE(s.returned(w.report.host));
 }
 
@@ -122,7 +122,7 @@
     s.restart();
     s.run(Millis(6000));
     EXPECT_FALSE(s.leads());
-    EXPECT_TRUE(s.logged("event=bad_record key=prog/req-000001/0"));
+    EXPECT_TRUE(s.logged("event=invalid_record key=prog/req-000001/0"));
     EXPECT_EQ(s.phase(j.id), "pending");
 }
 
--- a/tests/sim/cluster_state_fixture.hpp
+++ b/tests/sim/cluster_state_fixture.hpp
@@ -18,7 +18,7 @@
     sansio::Context port{1, sansio::LogLevel::info};
     kv::KvClient store{port, config};
     coordination::Election election{port, store, config};
-    state::ClusterState ledger{port, store, election};
+    state::ClusterState cluster_state{port, store, election};
     Instant now{Millis(1000000)};
 
     ClusterStateFixture() { pass(Millis(0)); }
@@ -29,10 +29,11 @@
     state::Job& add_job(int number, std::uint32_t task_count = 1) {
         kv::JobRecord record;
         record.spec = job(number, task_count);
-        return *ledger.add_job(std::move(record), KeyRev(1));
+        return *cluster_state.add_job(std::move(record), KeyRevision(1));
     }
     state::Machine& add_machine(int number, const std::string& zone = "a") {
-        return ledger.add_machine(HostName(fmt::format("vm-{:06}", number)), "big", zone, true);
+        return cluster_state.add_machine(MachineName(fmt::format("vm-{:06}", number)), "big", zone,
+                                         true);
     }
 };
 
--- a/tests/sim/controller_harness.cpp
+++ b/tests/sim/controller_harness.cpp
@@ -51,7 +51,7 @@
 static void obey(HarnessWorker& w, const std::vector<wire::TaskCommand>& orders) {
     for (const auto& o : orders) {
         std::erase_if(w.report.tasks, [&](const auto& t) { return t.task == o.task; });
-        if (o.verb == wire::CommandKind::start) w.report.tasks.push_back(running(o));
+        if (o.kind == wire::CommandKind::start) w.report.tasks.push_back(running(o));
     }
 }
 
@@ -66,13 +66,13 @@
                 if (it == all.end()) break;
                 const auto direct = *it;
                 w->report.token = std::max(w->report.token, direct.commands.token);
-                obey(*w, direct.commands.orders);
+                obey(*w, direct.commands.commands);
                 s.answer(direct, 200, w->next());
                 s.run(Millis(40));
             }
             const auto reply = s.checkin(w->next()).second;
             w->report.token = std::max(w->report.token, reply.token);
-            obey(*w, reply.orders);
+            obey(*w, reply.commands);
         }
         s.run(Millis(1000));
     }
@@ -94,13 +94,13 @@
 const config::Config& ControllerHarness::config() {
     static const config::Config config = [] {
         config::Config c;
-        c.name = NodeName("node-0");
+        c.name = ControllerName("node-0");
         c.zones = {"a"};
         c.teams = {{"free", 0, 0, 0, 0}};
-        c.report = Millis(3000);
-        c.lease = Millis(15000);
-        c.cancel = Millis(40000);
-        c.list_lag = Millis(4000);
+        c.heartbeat_interval = Millis(3000);
+        c.worker_lease = Millis(15000);
+        c.cancellation_deadline = Millis(40000);
+        c.machine_list_lag = Millis(4000);
         c.cloud_rps = 5;
         return c;
     }();
@@ -113,7 +113,8 @@
       cloud_(clock_, {{"big", 16, 0, 64, 50, 1, 0.9, 0.3, 5, {"a"}}}, most_machines, Millis(4000),
              5,
              {[this](const wire::MachineListing& row) { up_.push_back(row); },
-              [](const HostName&) {}, [this](const HostName& host) { returned_.insert(host); }}) {
+              [](const MachineName&) {},
+              [this](const MachineName& host) { returned_.insert(host); }}) {
     restart();
 }
 
@@ -224,7 +225,7 @@
     p.report.machine_type = row.machine_type;
     p.report.zone = row.zone;
     p.report.spot = row.spot;
-    p.report.order.session = 1;
+    p.report.order.agent_epoch = 1;
     return p;
 }
 
--- a/tests/sim/controller_harness.hpp
+++ b/tests/sim/controller_harness.hpp
@@ -55,7 +55,7 @@
 
     // Waits for the n-th machine to boot.
     HarnessWorker machine(std::size_t n);
-    bool returned(const HostName& host) const { return returned_.contains(host); }
+    bool returned(const MachineName& host) const { return returned_.contains(host); }
     bool logged(const std::string& what) const { return logged_times(what) > 0; }
     std::size_t logged_times(const std::string& what) const;
     // Hosts on which the job's tasks are on record.
@@ -85,7 +85,7 @@
     std::map<RequestId, sansio::HttpResponse> answers_;
     std::vector<Direct> commands_in_flight_;
     std::vector<wire::MachineListing> up_;
-    std::set<HostName> returned_;
+    std::set<MachineName> returned_;
     std::vector<std::string> logs_;
     bool writes_lost_ = false;
 };
--- a/tests/sim/fake_cloud.cpp
+++ b/tests/sim/fake_cloud.cpp
@@ -69,13 +69,13 @@
     const auto request = wire::decode_scale_out_request(wire::Document::parse(body)->root());
     const auto known = claims_.find(request.idempotency_key);
     if (known != claims_.end()) return {200, known->second};
-    std::vector<HostName> hosts;
+    std::vector<MachineName> hosts;
     const auto type = std::find_if(types_.begin(), types_.end(),
                                    [&](const auto& t) { return t.name == request.machine_type; });
     if (type == types_.end()) return {400, {}};
     while (hosts.size() < request.how_many && alive() < most_machines_) {
         Machine m;
-        m.row.host = HostName(fmt::format("vm-{:06}", machines_.size()));
+        m.row.host = MachineName(fmt::format("vm-{:06}", machines_.size()));
         m.row.endpoint = "worker:" + m.row.host.get();
         m.row.machine_type = request.machine_type;
         m.row.zone = request.zone;
@@ -111,14 +111,14 @@
     return {200, {}};
 }
 
-void FakeCloud::take(const HostName& host) {
+void FakeCloud::take(const MachineName& host) {
     const auto it = machines_.find(host);
     if (it == machines_.end() || it->second.gone != Instant::max()) return;
     it->second.gone = clock_.now();
     events_.gone(host);
 }
 
-void FakeCloud::fail(const HostName& host) {
+void FakeCloud::fail(const MachineName& host) {
     const auto it = machines_.find(host);
     if (it == machines_.end() || it->second.gone != Instant::max()) return;
     it->second.failed = clock_.now();
--- a/tests/sim/fake_cloud.hpp
+++ b/tests/sim/fake_cloud.hpp
@@ -24,8 +24,8 @@
     };
     struct Events {
         std::function<void(const wire::MachineListing&)> up;
-        std::function<void(const HostName&)> gone;
-        std::function<void(const HostName&)> returned;  // by the service, just before it is gone
+        std::function<void(const MachineName&)> gone;
+        std::function<void(const MachineName&)> returned;  // by the service, just before it is gone
     };
 
     FakeCloud(Clock& clock, std::vector<wire::MachineType> types, std::size_t most_machines,
@@ -51,9 +51,9 @@
     void set_boot_fault(BootFault trouble) { boot_trouble_ = std::move(trouble); }
     void set_capacity(std::size_t most) { most_machines_ = most; }
     // The machine vanishes without the service's wish.
-    void take(const HostName& host);
+    void take(const MachineName& host);
     // The machine stops on its own and stays listed as failed.
-    void fail(const HostName& host);
+    void fail(const MachineName& host);
     const std::vector<wire::MachineType>& types() const { return types_; }
     std::size_t alive() const;
     std::size_t rented() const { return machines_.size(); }
@@ -79,7 +79,7 @@
     Instant refilled_{};
     std::size_t page_ = 7;
     std::uint64_t refusals_ = 0;
-    std::map<HostName, Machine> machines_;
+    std::map<MachineName, Machine> machines_;
     std::map<std::string, std::string> claims_;
 };
 
--- a/tests/sim/fake_worker.cpp
+++ b/tests/sim/fake_worker.cpp
@@ -12,7 +12,7 @@
 }
 
 FakeWorker::FakeWorker(Clock& clock, WorkerHost& world, const config::Config& config,
-                       const wire::MachineType& type, HostName host, std::string zone, bool spot,
+                       const wire::MachineType& type, MachineName host, std::string zone, bool spot,
                        std::uint64_t seed)
     : clock_(clock),
       world_(world),
@@ -42,7 +42,7 @@
 }
 
 void FakeWorker::check_lease() {
-    if (clock_.now() - lease_from_ <= config_.lease) return;
+    if (clock_.now() - lease_from_ <= config_.worker_lease) return;
     for (const auto& [task, t] : tasks_) killed_ += t.phase != TaskPhase::exited ? 1 : 0;
     tasks_.clear();
     ++tenure_;
@@ -54,7 +54,7 @@
     std::set<TaskRef> out;
     if (gone_) return out;
     // A hanging machine's lease ends all the same.
-    if (clock_.now() - lease_from_ > config_.lease) return out;
+    if (clock_.now() - lease_from_ > config_.worker_lease) return out;
     for (const auto& [task, t] : tasks_) {
         if (t.phase != TaskPhase::exited) out.insert(task);
     }
@@ -62,7 +62,7 @@
 }
 
 bool FakeWorker::has(const TaskRef& task) {
-    if (gone_ || clock_.now() - lease_from_ > config_.lease) return false;
+    if (gone_ || clock_.now() - lease_from_ > config_.worker_lease) return false;
     const auto it = tasks_.find(task);
     return it != tasks_.end() && it->second.phase != TaskPhase::exited;
 }
@@ -99,7 +99,8 @@
     sent_tenure_ = tenure_;
     ++sequence_;
     const auto jitter = static_cast<std::int64_t>(rng_() % 50) - 25;
-    report_at_ = clock_.now() + config_.report + config_.report * jitter / 100;
+    report_at_ =
+        clock_.now() + config_.heartbeat_interval + config_.heartbeat_interval * jitter / 100;
     clock_.after(Millis(4000),
                  [this, sequence = sequence_] { heartbeat_answered(sequence, nullptr); });
     world_.send_heartbeat(host_, node_, report_body());
@@ -157,18 +158,18 @@
         epoch_ = answer.token;
         changed();
     }
-    for (const auto& order : answer.orders) execute(order);
+    for (const auto& order : answer.commands) execute(order);
 }
 
 sansio::HttpResult FakeWorker::commands(const std::string& body) {
     check_lease();
     const auto c = wire::decode_commands(wire::Document::parse(body)->root());
-    if (c.token < epoch_ || c.session != tenure_) return {409, report_body()};
+    if (c.token < epoch_ || c.agent_epoch != tenure_) return {409, report_body()};
     if (c.token > epoch_) {
         epoch_ = c.token;
         changed();
     }
-    for (const auto& order : c.orders) execute(order);
+    for (const auto& order : c.commands) execute(order);
     return {200, report_body()};
 }
 
@@ -199,7 +200,7 @@
 }
 
 void FakeWorker::execute(const wire::TaskCommand& o) {
-    if (o.verb == wire::CommandKind::start) {
+    if (o.kind == wire::CommandKind::start) {
         start_task(o);
         changed();
         return;
@@ -207,7 +208,7 @@
     const auto it = tasks_.find(o.task);
     if (it == tasks_.end() || it->second.attempt != o.attempt) return;
     auto& t = it->second;
-    if (o.verb == wire::CommandKind::clear) {
+    if (o.kind == wire::CommandKind::clear) {
         if (t.phase == TaskPhase::exited) tasks_.erase(it);
         return;
     }
--- a/tests/sim/fake_worker.hpp
+++ b/tests/sim/fake_worker.hpp
@@ -30,10 +30,10 @@
     virtual Millis run_time(const TaskRef& task) = 0;
     // The task's job was submitted with a mistake.
     virtual bool fails(const TaskRef& task) = 0;
-    virtual void task_started(const HostName& host, const TaskRef& task) = 0;
+    virtual void task_started(const MachineName& host, const TaskRef& task) = 0;
     virtual void task_completed(const TaskRef& task) = 0;
     // Sends a report to a node; the answer comes back through heartbeat_answered().
-    virtual void send_heartbeat(const HostName& host, std::size_t node,
+    virtual void send_heartbeat(const MachineName& host, std::size_t node,
                                 const std::string& body) = 0;
     virtual std::size_t node_count() const = 0;
     virtual std::size_t node_named(const std::string& name) const = 0;  // or node_count()
@@ -42,7 +42,7 @@
 class FakeWorker {
   public:
     FakeWorker(Clock& clock, WorkerHost& world, const config::Config& config,
-               const wire::MachineType& type, HostName host, std::string zone, bool spot,
+               const wire::MachineType& type, MachineName host, std::string zone, bool spot,
                std::uint64_t seed);
 
     void start();
@@ -60,7 +60,7 @@
     std::uint64_t sequence() const { return sequence_; }
     std::size_t killed_by_lease() const { return killed_; }
 
-    const HostName& host() const { return host_; }
+    const MachineName& host() const { return host_; }
     const std::string& zone() const { return region_; }
     const std::string& machine_type() const { return type_.name; }
     bool spot() const { return spot_; }
@@ -90,7 +90,7 @@
     WorkerHost& world_;
     const config::Config& config_;
     wire::MachineType type_;
-    HostName host_;
+    MachineName host_;
     std::string region_;
     bool spot_;
     std::mt19937_64 rng_;
--- a/tests/sim/fault_injection.cpp
+++ b/tests/sim/fault_injection.cpp
@@ -141,7 +141,7 @@
 
 // ---- machines ----
 
-SimulatedCluster::Cut SimulatedCluster::worker_cut(const HostName& host) const {
+SimulatedCluster::Cut SimulatedCluster::worker_cut(const MachineName& host) const {
     const auto it = worker_cuts_.find(host);
     return it == worker_cuts_.end() || clock_.now() >= it->second.second ? Cut::none
                                                                          : it->second.first;
@@ -225,8 +225,8 @@
 }
 
 void SimulatedCluster::lower_limits() {
-    state_.set_limits({config_.state.rps(), config_.state.write_rps(), config_.state.txn_ops(),
-                       config_.state.value_bytes(), 20});
+    state_.set_limits({config_.kv_limits.rps(), config_.kv_limits.write_rps(),
+                       config_.kv_limits.txn_ops(), config_.kv_limits.value_bytes(), 20});
 }
 
 void SimulatedCluster::cut_zone(const std::string& zone, std::size_t i, Millis span) {
--- a/tests/sim/invariants.cpp
+++ b/tests/sim/invariants.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kInFlight{20};
 }  // namespace
 
-void SimulatedCluster::task_started(const HostName& host, const TaskRef& task) {
+void SimulatedCluster::task_started(const MachineName& host, const TaskRef& task) {
     ++starts_;
     users_.at(task.job).last_start = clock_.now();
     auto& began = users_.at(task.job).began;
@@ -51,7 +51,7 @@
     if (!dependencies_done(user)) broken("too_early", task.str());
     if (clock_.now() > user.cancellation_seen_at) ++starts_after_cancellation_;
     if (clock_.now() - user.cancellation_seen_at > kInFlight) ++starts_long_after_cancellation_;
-    if (clock_.now() - user.cancellation_seen_at > config_.cancel) {
+    if (clock_.now() - user.cancellation_seen_at > config_.cancellation_deadline) {
         broken("ran_cancelled", task.str() + " started");
     }
 }
@@ -67,7 +67,7 @@
         for (const auto& task : worker->present()) {
             const auto& user = users_.at(task.job);
             use[user.spec.team] += user.spec.cores;
-            if (clock_.now() - user.cancellation_seen_at > config_.cancel) {
+            if (clock_.now() - user.cancellation_seen_at > config_.cancellation_deadline) {
                 broken("ran_cancelled", task.str() + " is on " + host.get());
             }
         }
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -9,22 +9,22 @@
 config::Config make_config(const ScenarioOptions& options) {
     const double size = static_cast<double>(options.machines) / ScenarioOptions().machines;
     config::Config c;
-    c.name = NodeName("node-0");
+    c.name = ControllerName("node-0");
     c.zones = {"a", "b"};
     c.teams = {{"red", 8 * size, 0, 24 * size, 0},
                {"blue", 8 * size, 0, 20 * size, 0},
                {"free", 0, 0, 0, 0}};
     if (options.guest_team) c.teams.push_back({"guest", 0, 0, 0, 0});
-    c.report = Millis(3000);
-    c.lease = Millis(15000);
-    c.cancel = Millis(40000);
-    c.list_lag = Millis(4000);
+    c.heartbeat_interval = Millis(3000);
+    c.worker_lease = Millis(15000);
+    c.cancellation_deadline = Millis(40000);
+    c.machine_list_lag = Millis(4000);
     c.cloud_rps = 5;
     if (options.large_fleet) {
-        c.report = Millis(8000);
-        c.lease = Millis(36000);
-        c.cancel = Millis(56000);
-        c.list_lag = Millis(8000);
+        c.heartbeat_interval = Millis(8000);
+        c.worker_lease = Millis(36000);
+        c.cancellation_deadline = Millis(56000);
+        c.machine_list_lag = Millis(8000);
         c.cloud_rps = 3;
         c.fd_limit = 2928;
     }
@@ -55,11 +55,11 @@
                   workers_[row.host] = std::move(worker);
                   workers_[row.host]->start();
               },
-              [this](const HostName& host) {
+              [this](const MachineName& host) {
                   const auto it = workers_.find(host);
                   if (it != workers_.end()) it->second->stop();
               },
-              [this](const HostName& host) {
+              [this](const MachineName& host) {
                   const auto it = workers_.find(host);
                   if (it != workers_.end() && !it->second->present().empty()) {
                       ++returned_with_tasks_;
@@ -67,16 +67,16 @@
               }}) {
     nodes_.resize(3);
     faults_end_ = clock_.now() + from_seconds(options.faults_s);
-    config_.state = options.limits;
-    if (options.large_fleet) config_.state = config::Limits({180, 70, 16, 48});
+    config_.kv_limits = options.limits;
+    if (options.large_fleet) config_.kv_limits = config::KvLimits({180, 70, 16, 48});
     for (auto& node : nodes_) node.old_version = options.old_format > 0;
     for (std::size_t i = 0; i < nodes_.size(); ++i) boot(i);
     options.urgent_flow ? make_flow() : make_users(options.jobs);
     if (options.fault_every_s > 0) plan_fault();
     if (options.severe_faults) plan_severe_faults();
     if (!options.large_fleet) return;
-    state_.set_limits({config_.state.rps(), config_.state.write_rps(), config_.state.txn_ops(),
-                       config_.state.value_bytes(), 1000});
+    state_.set_limits({config_.kv_limits.rps(), config_.kv_limits.write_rps(),
+                       config_.kv_limits.txn_ops(), config_.kv_limits.value_bytes(), 1000});
     cloud_.set_limits(config_.cloud_rps, 500);
     check_every_ = check_ledger_every_ = Millis(1000);
 }
--- a/tests/sim/simulated_cluster.hpp
+++ b/tests/sim/simulated_cluster.hpp
@@ -47,7 +47,7 @@
     double pipelines_after_s = 0;
     // One more job at the end of each pipeline, which also waits on so many of the other jobs.
     std::size_t fan_in = 0;
-    config::Limits limits;
+    config::KvLimits limits;
     // So many percent of the jobs are submitted with a mistake: they fail on every machine until
     // their users call them off.
     unsigned failing_jobs_percent = 0;
@@ -238,9 +238,10 @@
     const wire::JobSpec* description(const JobId& id) override;
     Millis run_time(const TaskRef& task) override;
     bool fails(const TaskRef& task) override { return users_.at(task.job).failing; }
-    void task_started(const HostName& host, const TaskRef& task) override;
+    void task_started(const MachineName& host, const TaskRef& task) override;
     void task_completed(const TaskRef& task) override;
-    void send_heartbeat(const HostName& host, std::size_t node, const std::string& body) override;
+    void send_heartbeat(const MachineName& host, std::size_t node,
+                        const std::string& body) override;
     std::size_t node_count() const override { return nodes_.size(); }
     std::size_t node_named(const std::string& name) const override;
 
@@ -291,7 +292,7 @@
     // What is on machines: cores by team and machine, tasks by job.
     struct Usage {
         std::map<std::string, double> teams;
-        std::map<HostName, double> hosts;
+        std::map<MachineName, double> hosts;
         std::map<JobId, std::map<std::string, std::uint32_t>> zones;
         std::map<JobId, std::size_t> has_started;
     };
@@ -299,7 +300,7 @@
     bool could_start(const User& user, Usage& usage);
     static bool starts_gradually(const User& user);
     bool occurs(const FaultWindow& chance);
-    Cut worker_cut(const HostName& host) const;
+    Cut worker_cut(const MachineName& host) const;
     void serve_late(const sansio::HttpCall& call);
     void send_invalid_request();
     void query_at_completion(User& user);
@@ -314,10 +315,10 @@
     FakeKvStore state_;
     FakeCloud cloud_;
     std::vector<Node> nodes_;
-    std::map<HostName, std::unique_ptr<FakeWorker>> workers_;
+    std::map<MachineName, std::unique_ptr<FakeWorker>> workers_;
     // WorkerManager that have started any task of the job: no other can have one.
-    std::map<JobId, std::set<HostName>> started_on_;
-    std::map<HostName, std::pair<Cut, Instant>> worker_cuts_;
+    std::map<JobId, std::set<MachineName>> started_on_;
+    std::map<MachineName, std::pair<Cut, Instant>> worker_cuts_;
     std::map<JobId, User> users_;
     std::vector<std::string> violations_;
     std::uint64_t next_request_ = 0;
--- a/tests/sim/simulated_network.cpp
+++ b/tests/sim/simulated_network.cpp
@@ -23,15 +23,15 @@
 
 void SimulatedCluster::boot(std::size_t i) {
     auto config = config_;
-    config.name = NodeName("node-" + std::to_string(i));
-    config.known.clear();
+    config.name = ControllerName("node-" + std::to_string(i));
+    config.peers.clear();
     for (std::size_t j = 0; j < nodes_.size(); ++j) {
         if (j == i) continue;
         const auto name = "node-" + std::to_string(j);
-        config.known.push_back({NodeName(name), "a", name});
+        config.peers.push_back({ControllerName(name), "a", name});
     }
     auto& node = nodes_[i];
-    if (node.old_version) config.format = options_.old_format;
+    if (node.old_version) config.newest_record_format = options_.old_format;
     const bool verbose = std::getenv("SIM_LOG") != nullptr;
     node.core = std::make_unique<controller::Controller>(
         config, rng_(), verbose ? sansio::LogLevel::debug : sansio::LogLevel::info);
@@ -146,7 +146,7 @@
 
 // The worker cannot be connected to now, as it is cut off; or, while answers get lost, by chance.
 bool SimulatedCluster::unconnected(const std::string& endpoint) {
-    const auto how = worker_cut(HostName(endpoint.substr(std::string("worker:").size())));
+    const auto how = worker_cut(MachineName(endpoint.substr(std::string("worker:").size())));
     return (how != Cut::none && how != Cut::mute) || (lost_responses_ > 0 && rng_() % 4 == 0) ||
            (clock_.now() < commands_delayed_until_ && rng_() % 2 == 0);
 }
@@ -198,7 +198,7 @@
 // answer.
 void SimulatedCluster::repeat_later(std::size_t i, const HttpCall& c) {
     if (!options_.severe_faults || c.method != "POST" || severe_fault_rng_() % 30 != 0) return;
-    const auto span = static_cast<std::uint64_t>(config_.lease.count()) * 3;
+    const auto span = static_cast<std::uint64_t>(config_.worker_lease.count()) * 3;
     clock_.after(Millis(5 + static_cast<std::int64_t>(severe_fault_rng_() % span)),
                  [this, i, c] { serve(i, c, [](const HttpResult&) {}); });
 }
@@ -233,7 +233,8 @@
             reply({a.status, a.body});
         });
     } else {
-        const auto it = workers_.find(HostName(c.endpoint.substr(std::string("worker:").size())));
+        const auto it =
+            workers_.find(MachineName(c.endpoint.substr(std::string("worker:").size())));
         if (it == workers_.end() || it->second->gone()) return;
         auto& worker = *it->second;
         const auto cut = worker_cut(worker.host());
@@ -269,7 +270,7 @@
     return nodes_.size();
 }
 
-void SimulatedCluster::send_heartbeat(const HostName& host, std::size_t i,
+void SimulatedCluster::send_heartbeat(const MachineName& host, std::size_t i,
                                       const std::string& body) {
     const auto sequence = workers_.at(host)->sequence();
     const auto deliver = [this, host, i, body, sequence] {
@@ -300,7 +301,7 @@
 void SimulatedCluster::copy_later(std::size_t i, const std::string& body) {
     const bool drawn = options_.fault_every_s > 0 && rng_() % 40 == 0;
     if (!drawn && !occurs(duplicated_heartbeats_)) return;
-    const auto span = static_cast<std::uint64_t>(config_.lease.count()) * 3;
+    const auto span = static_cast<std::uint64_t>(config_.worker_lease.count()) * 3;
     const auto to = rng_() % 2 ? i : rng_() % nodes_.size();
     clock_.after(Millis(500 + static_cast<std::int64_t>(rng_() % span)), [this, to, body] {
         request(to, Listener::front, "POST", "/checkin", body, [](const HttpResponse&) {});
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -301,7 +301,8 @@
         }
         if (!user.final) user.final_seen_at = user.cancellation_seen_at = clock_.now();
         user.final = JobPhase::cancelled;
-    } else if (clock_.now() - dependency_told_cancelled_at(user.spec.id) > config_.cancel) {
+    } else if (clock_.now() - dependency_told_cancelled_at(user.spec.id) >
+               config_.cancellation_deadline) {
         broken("orphaned", id + " is called " + phase);
     }
 }
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -43,8 +43,8 @@
             encode(kv::TerminalRecord{wire::JobPhase::cancelled, std::nullopt, 1}).packed);
     s.set_writes_lost(false);
     play(s, {&w}, 5);
-    EXPECT_TRUE(s.logged("event=commit_unknown"));
-    EXPECT_FALSE(s.logged("event=commit_lost"));
+    EXPECT_TRUE(s.logged("event=transaction_retried"));
+    EXPECT_FALSE(s.logged("event=transaction_outcome_unknown"));
     EXPECT_EQ(s.phase(first.id), "withdrawn");
     EXPECT_EQ(s.phase(second.id), "withdrawn");
     EXPECT_TRUE(s.recorded_on(second.id).empty());
