--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -26,7 +26,7 @@
     o.old_format = config::kChunkFormat;
     o.pipelines = 10;
     o.pipelines_after_s = 110;
-    o.limits = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 56, 2, 16});
+    o.limits = config::KvLimits({200, 80, 16, 48}, config::KvLimits::Set{200, 56, 2, 16});
     return o;
 }
 
@@ -140,7 +140,7 @@
 
 config::Config with_a_peer_unheard() {
     auto config = ControllerHarness::config();
-    config.known.push_back({NodeName("node-1"), "a", "node-1"});
+    config.peers.push_back({ControllerName("node-1"), "a", "node-1"});
     return config;
 }
 
@@ -166,7 +166,7 @@
     script.checkin(w.next());
     script.run(Millis(300));
     ASSERT_EQ(script.directs().size(), 1u);
-    for (const auto& order : script.directs()[0].commands.orders) {
+    for (const auto& order : script.directs()[0].commands.commands) {
         wire::TaskStatus t;
         t.task = order.task;
         t.attempt = order.attempt;
@@ -189,7 +189,7 @@
 TEST(ProductionFormat, IsWrittenUntilTheSwitch) {
     for (const std::uint64_t format : {2, 3}) {
         auto config = with_a_peer_unheard();
-        config.format = format;
+        config.newest_record_format = format;
         ControllerHarness script(1, config);
         run_three_tasks(script);
         for (const auto& [key, hex] : kProduction) {
@@ -203,7 +203,7 @@
 // some controller may still be of that version.
 TEST(FirstFormatWithDependencies, IsWrittenWhileItIsInForce) {
     auto config = ControllerHarness::config();
-    config.format = 3;
+    config.newest_record_format = 3;
     ControllerHarness script(1, config);
     script.run(Millis(3000));
     ASSERT_EQ(script.submit(job(1, 3)), 201);
@@ -238,7 +238,7 @@
         const auto doc = wire::Document::parse(packed);
         ASSERT_TRUE(doc);
         const auto heard = coordination::decode_heartbeat(doc->root());
-        EXPECT_EQ(heard.node, NodeName("node-1"));
+        EXPECT_EQ(heard.node, ControllerName("node-1"));
         EXPECT_EQ(heard.term, Term(7));
         EXPECT_TRUE(heard.leads);
         EXPECT_TRUE(heard.state_reachable);
@@ -256,7 +256,7 @@
 // What this version says of itself, but for the format that it knows, is what the one before said.
 TEST(Heartbeat, IsWrittenAsBefore) {
     coordination::Heartbeat heartbeat;
-    heartbeat.node = NodeName("node-1");
+    heartbeat.node = ControllerName("node-1");
     heartbeat.term = Term(7);
     heartbeat.leads = heartbeat.state_reachable = true;
     heartbeat.cancellations = {99, 3, {JobId("req-000004"), JobId("req-000005")}};
@@ -279,19 +279,19 @@
 // After the switch the older version does not act on what it would misread.
 TEST(ProductionFormat, TheOlderVersionStopsAtTheMark) {
     auto config = ControllerHarness::config();
-    config.format = 2;
+    config.newest_record_format = 2;
     ControllerHarness script(1, config);
     script.write(kv::kFormatMark, wire::Writer().map(1).text("v").count(3).take());
     for (const auto& [key, hex] : kProduction) script.write(key, bytes(hex));
     script.run(Millis(8000));
     EXPECT_FALSE(script.leads());
-    EXPECT_TRUE(script.logged("event=bad_record key=rent/!format"));
+    EXPECT_TRUE(script.logged("event=invalid_record key=rent/!format"));
 }
 
 // What no longer fits a record is put off, and the rest of the job goes on.
 TEST(LimitsBeforeFormatSwitch, AJobRunsAsManyTasksAsCanBeRecorded) {
     auto config = with_a_peer_unheard();
-    config.state = config::Limits({200, 80, 16, 48}, config::Limits::Set{200, 80, 1, 16});
+    config.kv_limits = config::KvLimits({200, 80, 16, 48}, config::KvLimits::Set{200, 80, 1, 16});
     ControllerHarness script(1, config);
     script.run(Millis(3000));
     auto large = job(1, 256);
