--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -44,13 +44,13 @@
       state_(context_, kv_client_, election_),
       loader_(context_, kv_client_, election_, state_, config_),
       writer_(context_, kv_client_, election_, state_, config_),
-      workers_(
-          context_, election_, state_, config_,
-          [this](const workers::Finished& f) { provisioner_.run_times().learn(*f.job, f.ran_s); }),
-      provisioner_(context_, election_, state_, workers_, config_),
-      scheduler_(context_, state_, workers_, provisioner_.run_times(), config_),
+      workers_(context_, election_, state_, config_,
+               [this](const workers::Finished& f) { run_time_estimator_.learn(*f.job, f.ran_s); }),
+      provisioner_(context_, election_, state_, workers_, machine_types_, run_time_estimator_,
+                   config_),
+      scheduler_(context_, state_, workers_, run_time_estimator_, config_),
       jobs_(
-          context_, kv_client_, config_, provisioner_.types(),
+          context_, kv_client_, config_, machine_types_.all(),
           [this](const JobId& id) { return progress(id); },
           [this](const JobId& id, std::function<void()> then) {
               broadcast_cancellation(id, std::move(then));
@@ -80,7 +80,7 @@
     election_.set_eligible(kv_client_.reachable());
     election_.tick();
     handle_leadership_change();
-    provisioner_.tick_types();
+    provisioner_.tick_machine_types();
     const bool upkeep = now >= next_upkeep_;
     if (upkeep) next_upkeep_ = now + kUpkeepEvery;
     if (upkeep && election_.is_leader()) leadership_guard_.suspend_leadership_if_isolated();
@@ -278,7 +278,7 @@
 // In an outage of the state service every node is as good as any other and says so: going away
 // would only lengthen the outage for the users. Where others are served, they should take over.
 bool Controller::ready() const {
-    if (provisioner_.types().empty()) return false;
+    if (machine_types_.empty()) return false;
     return kv_client_.reachable() || !peer_monitor_.state_reachable_elsewhere();
 }
 
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -21,6 +21,8 @@
 #include "state/cluster_state.hpp"
 #include "state/cluster_state_loader.hpp"
 #include "state/cluster_state_writer.hpp"
+#include "state/machine_type_catalog.hpp"
+#include "state/run_time_estimator.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace dunebridge::controller {
@@ -87,6 +89,8 @@
     state::ClusterState state_;
     state::ClusterStateLoader loader_;
     state::ClusterStateWriter writer_;
+    state::MachineTypeCatalog machine_types_;
+    state::RunTimeEstimator run_time_estimator_;
     workers::WorkerManager workers_;
     provisioning::Provisioner provisioner_;
     scheduler::Scheduler scheduler_;
--- a/src/provisioning/boot_monitor.hpp
+++ b/src/provisioning/boot_monitor.hpp
@@ -13,10 +13,10 @@
 #include <map>
 #include <string>
 
-#include "provisioning/machine_type_catalog.hpp"
 #include "provisioning/scaling_plan.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
+#include "state/machine_type_catalog.hpp"
 
 namespace dunebridge::provisioning {
 
@@ -34,7 +34,7 @@
 class BootMonitor {
   public:
     BootMonitor(sansio::Context& port, state::ClusterState& cluster_state,
-                const MachineTypeCatalog& types)
+                const state::MachineTypeCatalog& types)
         : context_(port), state_(cluster_state), types_(types) {}
 
     // Another term begins: what was observed stays, what is under way is judged anew.
@@ -71,7 +71,7 @@
 
     sansio::Context& context_;
     state::ClusterState& state_;
-    const MachineTypeCatalog& types_;
+    const state::MachineTypeCatalog& types_;
     std::map<Place, Health> places_;
 };
 
--- a/src/provisioning/provisioner.hpp
+++ b/src/provisioning/provisioner.hpp
@@ -11,12 +11,13 @@
 #include "provisioning/boot_monitor.hpp"
 #include "provisioning/cloud_client.hpp"
 #include "provisioning/machine_inventory.hpp"
-#include "provisioning/machine_type_catalog.hpp"
+#include "provisioning/machine_type_fetcher.hpp"
 #include "provisioning/scale_in.hpp"
 #include "provisioning/scale_out.hpp"
 #include "provisioning/scaling_plan.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
+#include "state/machine_type_catalog.hpp"
 #include "state/run_time_estimator.hpp"
 #include "workers/worker_manager.hpp"
 
@@ -26,19 +27,16 @@
   public:
     Provisioner(sansio::Context& port, coordination::Election& election,
                 state::ClusterState& cluster_state, workers::WorkerManager& workers,
-                const config::Config& config);
+                state::MachineTypeCatalog& machine_types,
+                const state::RunTimeEstimator& run_time_estimator, const config::Config& config);
 
     // On every node.
-    void tick_types() { types_.tick(election_.is_leader()); }
+    void tick_machine_types() { machine_type_fetcher_.tick(election_.is_leader()); }
     // On the leader, once its ledger is loaded.
     void tick();
     // Another term begins.
     void reset();
 
-    const std::vector<wire::MachineType>& types() const { return types_.all(); }
-    const wire::MachineType* type(const std::string& name) const { return types_.find(name); }
-    state::RunTimeEstimator& run_times() { return run_time_estimator_; }
-
   private:
     void resize();
     void observe_load();
@@ -54,10 +52,11 @@
     coordination::Election& election_;
     state::ClusterState& state_;
     workers::WorkerManager& workers_;
+    const state::MachineTypeCatalog& types_;
+    const state::RunTimeEstimator& run_time_estimator_;
     const config::Config& config_;
     CloudClient cloud_;
-    MachineTypeCatalog types_;
-    state::RunTimeEstimator run_time_estimator_;
+    MachineTypeFetcher machine_type_fetcher_;
     BootMonitor boot_monitor_;
     ScaleIn scale_in_;
     MachineInventory list_;
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -53,7 +53,7 @@
 }  // namespace
 
 ScaleIn::ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
-                 workers::WorkerManager& workers, const MachineTypeCatalog& types,
+                 workers::WorkerManager& workers, const state::MachineTypeCatalog& types,
                  const BootMonitor& startups, const config::Config& config)
     : context_(port),
       cloud_(cloud),
--- a/src/provisioning/scale_in.hpp
+++ b/src/provisioning/scale_in.hpp
@@ -11,9 +11,9 @@
 #include "config/config.hpp"
 #include "provisioning/boot_monitor.hpp"
 #include "provisioning/cloud_client.hpp"
-#include "provisioning/machine_type_catalog.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
+#include "state/machine_type_catalog.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace dunebridge::provisioning {
@@ -35,7 +35,7 @@
 class ScaleIn {
   public:
     ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
-            workers::WorkerManager& workers, const MachineTypeCatalog& types,
+            workers::WorkerManager& workers, const state::MachineTypeCatalog& types,
             const BootMonitor& startups, const config::Config& config);
 
     // Another term begins.
@@ -60,7 +60,7 @@
     CloudClient& cloud_;
     state::ClusterState& state_;
     workers::WorkerManager& workers_;
-    const MachineTypeCatalog& types_;
+    const state::MachineTypeCatalog& types_;
     const BootMonitor& boot_monitor_;
     const config::Config& config_;
     std::set<MachineName> released_;  // machines to be deleted
--- a/tests/boot_monitor_test.cpp
+++ b/tests/boot_monitor_test.cpp
@@ -13,8 +13,7 @@
 
 struct BootMonitorTest : testing::Test {
     sim::ClusterStateFixture world;
-    CloudClient cloud{world.port, 5};
-    MachineTypeCatalog types{world.port, cloud};
+    state::MachineTypeCatalog types;
     BootMonitor monitor{world.port, world.cluster_state, types};
     int machines = 0;
 
