--- a/src/state/retried_transaction.cpp
+++ b/src/state/retried_transaction.cpp
@@ -1,6 +1,7 @@
 #include "state/retried_transaction.hpp"
 
 #include <algorithm>
+#include <utility>
 
 #include "kv/keys.hpp"
 #include "kv/records.hpp"
@@ -11,154 +12,190 @@
 using kv::TransactionResult;
 
 namespace {
-// Most answers come within milliseconds. A copy sent too early costs a few changes of the budget;
-// one sent late holds up every start.
+// Most answers come within milliseconds. An attempt that is repeated too early costs a few writes
+// of the budget; one that is repeated late holds up every start.
 constexpr Millis kFirstTimeout{1200};
 constexpr Millis kTimeout{2500};
-constexpr Millis kRetryAfter{120};
-// A term's worth of copies: a service that answers none of them is as good as out.
-constexpr int kMaxCopies = 40;
+constexpr Millis kRetryBackoff{120};
+// As many as a term can last: a key-value store that answers none of them is as good as down.
+constexpr int kMaxAttempts = 40;
+
+bool is_terminal_record(const wire::Write& write) {
+    return write.key.starts_with(kv::kTerminalPrefix);
+}
+
+// A terminal record that is not the one this transaction creates: a user's cancellation came first.
+bool is_written_by_a_user(const wire::Write& write, const kv::GetResult& result) {
+    if (!is_terminal_record(write) || !write.value || !result.row) return false;
+    const auto own = wire::Document::parse(*write.value);
+    return !own ||
+           kv::decode_terminal_record(own->root()) != kv::decode_terminal_record(result.row->value);
+}
+
+// How well a record shows whether the transaction was applied; the higher the better.
+enum class Evidence : std::uint8_t {
+    none,
+    terminal_record,  // other nodes may have written it: cancellations
+    removed_record,   // only the leader writes it, but its revision is gone
+    written_record    // its revision is that of the whole transaction
+};
+
+Evidence evidence_of(const wire::Write& write) {
+    if (is_terminal_record(write)) return Evidence::terminal_record;
+    return write.value ? Evidence::written_record : Evidence::removed_record;
+}
 }  // namespace
 
-RetriedTransaction::RetriedTransaction(sansio::Context& port, kv::KvClient& store,
-                                       TokenBucket& budget)
-    : context_(port), kv_client_(store), budget_(budget) {}
+RetriedTransaction::RetriedTransaction(sansio::Context& context, kv::KvClient& kv_client,
+                                       TokenBucket& write_budget)
+    : context_(context), kv_client_(kv_client), write_budget_(write_budget) {}
 
 void RetriedTransaction::send(std::vector<wire::Precondition> preconditions,
-                              std::vector<wire::Write> writes, Done done) {
+                              std::vector<wire::Write> writes, OutcomeCallback on_outcome) {
     ++sequence_;
     preconditions_ = std::move(preconditions);
     writes_ = std::move(writes);
-    done_ = std::move(done);
-    copies_ = 0;
-    some_lost_ = false;
-    send_copy();
+    on_outcome_ = std::move(on_outcome);
+    attempts_ = 0;
+    has_unanswered_attempt_ = false;
+    send_attempt();
 }
 
 void RetriedTransaction::abandon() {
     ++sequence_;
-    done_ = nullptr;
+    on_outcome_ = nullptr;
 }
 
-void RetriedTransaction::send_copy() {
-    const auto timeout = copies_++ == 0 ? kFirstTimeout : kTimeout;
-    kv_client_.transact(
-        preconditions_, writes_, timeout,
-        while_current<TransactionResult>([this](const auto& result) { answered(result); }));
+void RetriedTransaction::send_attempt() {
+    const auto timeout = attempts_ == 0 ? kFirstTimeout : kTimeout;
+    ++attempts_;
+    kv_client_.transact(preconditions_, writes_, timeout,
+                        unless_superseded<TransactionResult>(
+                            [this](const auto& result) { handle_response(result); }));
 }
 
-void RetriedTransaction::after(Millis pause, std::function<void()> then) {
-    context_.after(pause, [this, then = std::move(then), sequence = sequence_] {
-        if (sequence == sequence_) then();
-    });
+void RetriedTransaction::retry_after_backoff() {
+    context_.after(
+        kRetryBackoff + context_.jitter(kRetryBackoff), unless_superseded([this] {
+            if (write_budget_.take(static_cast<double>(writes_.size()), context_.now())) {
+                send_attempt();
+            } else {
+                retry_after_backoff();
+            }
+        }));
 }
 
-void RetriedTransaction::send_again() {
-    after(kRetryAfter + context_.jitter(kRetryAfter), [this] {
-        const auto changes = static_cast<double>(writes_.size());
-        budget_.take(changes, context_.now()) ? send_copy() : send_again();
-    });
+void RetriedTransaction::retry_or_give_up() {
+    if (attempts_ < kMaxAttempts) {
+        retry_after_backoff();
+    } else {
+        finish_with_unknown_outcome();
+    }
 }
 
-void RetriedTransaction::answered(const TransactionResult& result) {
+void RetriedTransaction::handle_response(const TransactionResult& result) {
     if (result.outcome == Outcome::unknown) {
-        some_lost_ = true;
-        context_.log(sansio::LogLevel::info, "event=transaction_retried copies={}", copies_);
-        copies_ < kMaxCopies ? send_again() : finish(result);
-        return;
-    }
-    if (!some_lost_ || result.outcome == Outcome::ok) {
+        has_unanswered_attempt_ = true;
+        context_.log(sansio::LogLevel::info, "event=transaction_retried attempts={}", attempts_);
+        retry_or_give_up();
+    } else if (!has_unanswered_attempt_ || result.outcome == Outcome::ok) {
         finish(result);
     } else if (result.outcome == Outcome::refused) {
-        // This copy was not executed; an earlier one may yet be.
-        copies_ < kMaxCopies ? send_again() : finish({});
+        // This attempt was not executed; an earlier one may yet be.
+        retry_or_give_up();
     } else if (result.outcome == Outcome::conflict) {
-        settle(result);
+        resolve_conflict(result);
     } else {
         // It cannot be sent again as it is, and may have been applied before: only a new term
-        // keeps a lost copy out.
-        finish({});
+        // keeps an unanswered attempt out.
+        finish_with_unknown_outcome();
     }
 }
 
-const wire::Precondition* RetriedTransaction::precondition_of(const wire::Write& write) const {
+const wire::Precondition* RetriedTransaction::precondition_for(const wire::Write& write) const {
     const auto it =
         std::find_if(preconditions_.begin(), preconditions_.end(),
                      [&](const auto& precondition) { return precondition.key == write.key; });
     return it == preconditions_.end() ? nullptr : &*it;
 }
 
-// The write whose record shows whether the transaction was applied. Nobody but the
-// leader writes records other than ends; what was set is preferred, as its revision is that of the
-// whole transaction.
-std::optional<std::size_t> RetriedTransaction::telling_write() const {
-    std::optional<std::size_t> best;
-    int best_rank = 0;
-    for (std::size_t i = 0; i < writes_.size(); ++i) {
-        if (!precondition_of(writes_[i])) continue;
-        const bool end = writes_[i].key.starts_with(kv::kTerminalPrefix);
-        const int rank = end ? 1 : writes_[i].value ? 3 : 2;
-        if (rank <= best_rank) continue;
-        best = i;
-        best_rank = rank;
+// The write whose record shows best whether the transaction was applied; null if none does.
+const wire::Write* RetriedTransaction::write_to_read_back() const {
+    const wire::Write* best = nullptr;
+    auto best_evidence = Evidence::none;
+    for (const auto& write : writes_) {
+        if (!precondition_for(write)) continue;
+        const auto evidence = evidence_of(write);
+        if (evidence <= best_evidence) continue;
+        best = &write;
+        best_evidence = evidence;
     }
     return best;
 }
 
-void RetriedTransaction::settle(const TransactionResult& conflict) {
+void RetriedTransaction::resolve_conflict(const TransactionResult& conflict) {
     const auto& failed = conflict.failed;
-    const bool deposed =
-        std::find(failed.begin(), failed.end(), preconditions_.front().key) != failed.end();
-    const auto write = telling_write();
-    deposed || !write ? finish({}) : settle_by(*write, conflict);
+    const auto& leader_key = preconditions_.front().key;
+    const bool deposed = std::find(failed.begin(), failed.end(), leader_key) != failed.end();
+    const auto* write = write_to_read_back();
+    if (deposed || !write) {
+        finish_with_unknown_outcome();
+    } else {
+        resolve_by_reading_back(*write, conflict);
+    }
 }
 
-// Some precondition has failed for good: revisions only grow and ends stay. So a copy that has not
-// been applied by now never will be.
-void RetriedTransaction::settle_by(std::size_t write, const TransactionResult& conflict) {
-    const auto then = [this, write, conflict](const kv::GetResult& result) {
+// Some precondition has failed for good: revisions only grow and terminal records stay. So an
+// attempt that has not been applied by now never will be.
+void RetriedTransaction::resolve_by_reading_back(const wire::Write& write,
+                                                 const TransactionResult& conflict) {
+    const auto resolve = [this, &write, conflict](const kv::GetResult& result) {
         if (!result.answered) {
-            after(kRetryAfter, [this, write, conflict] { settle_by(write, conflict); });
+            context_.after(kRetryBackoff, unless_superseded([this, &write, conflict] {
+                               resolve_by_reading_back(write, conflict);
+                           }));
             return;
         }
-        const auto& precondition = *precondition_of(writes_[write]);
-        const auto now = result.row ? result.row->rev : KeyRevision();
-        now == precondition.rev || written_by_a_user(writes_[write], result)
-            ? finish(conflict)
-            : confirm_applied(precondition, now);
+        const auto& precondition = *precondition_for(write);
+        const auto revision = result.row ? result.row->rev : KeyRevision();
+        if (revision == precondition.rev || is_written_by_a_user(write, result)) {
+            finish(conflict);
+        } else {
+            confirm_applied(precondition, revision);
+        }
     };
-    kv_client_.get(writes_[write].key, kTimeout, while_current<kv::GetResult>(then));
-}
-
-// An end that is not the one this transaction sets: a user's cancellation came first.
-bool RetriedTransaction::written_by_a_user(const wire::Write& write, const kv::GetResult& result) {
-    if (!write.key.starts_with(kv::kTerminalPrefix) || !write.value || !result.row) return false;
-    const auto own = wire::Document::parse(*write.value);
-    return !own ||
-           kv::decode_terminal_record(own->root()) != kv::decode_terminal_record(result.row->value);
+    kv_client_.get(write.key, kTimeout, unless_superseded<kv::GetResult>(resolve));
 }
 
 // The record has changed. It was this transaction that changed it if this node still leads in the
-// term that sent it.
-void RetriedTransaction::confirm_applied(const wire::Precondition& precondition, KeyRevision now) {
-    kv_client_.transact(
-        {preconditions_.front(), {precondition.key, now}}, {}, kTimeout,
-        while_current<TransactionResult>([this, precondition, now](const auto& result) {
-            if (result.outcome == Outcome::ok) {
-                finish({Outcome::ok, now, {}});
-            } else if (result.outcome == Outcome::conflict) {
-                finish({});
-            } else {
-                after(kRetryAfter,
-                      [this, precondition, now] { confirm_applied(precondition, now); });
-            }
-        }));
+// term in which it was sent.
+void RetriedTransaction::confirm_applied(const wire::Precondition& precondition,
+                                         KeyRevision current_revision) {
+    const auto handle = [this, precondition, current_revision](const TransactionResult& result) {
+        if (result.outcome == Outcome::ok) {
+            finish({Outcome::ok, current_revision, {}});
+        } else if (result.outcome == Outcome::conflict) {
+            finish_with_unknown_outcome();
+        } else {
+            context_.after(kRetryBackoff, unless_superseded([this, precondition, current_revision] {
+                               confirm_applied(precondition, current_revision);
+                           }));
+        }
+    };
+    kv_client_.transact({preconditions_.front(), {precondition.key, current_revision}}, {},
+                        kTimeout, unless_superseded<TransactionResult>(handle));
 }
 
 void RetriedTransaction::finish(const TransactionResult& result) {
-    const auto done = std::move(done_);
+    const auto on_outcome = std::move(on_outcome_);
     abandon();
-    if (done) done(result);
+    if (on_outcome) on_outcome(result);
+}
+
+void RetriedTransaction::finish_with_unknown_outcome() {
+    TransactionResult unknown;
+    unknown.outcome = Outcome::unknown;
+    finish(unknown);
 }
 
 }  // namespace dunebridge::state
--- a/src/state/retried_transaction.hpp
+++ b/src/state/retried_transaction.hpp
@@ -1,10 +1,12 @@
-// One ledger transaction at a time, sent until its outcome is known.
-//
-// A transaction that gets no answer may be applied at any later time. It is sent again with the
-// same preconditions: each record that it writes is guarded at the revision it had, so at most one
-// of the copies can ever be applied, and once one has been, or some other precondition has failed
-// for good, none of the others can. A conflict that follows a lost copy is settled by reading one
-// of the records: if it has changed, the lost copy was applied.
+/// \file
+/// Sends one compare-and-swap transaction at a time, and repeats it until its outcome is known.
+///
+/// A transaction without an answer may be applied at any later time. It is sent again with the same
+/// preconditions: every record that it writes is guarded by the revision at which this leader left
+/// it, so at most one of the attempts can ever be applied. Once one has been applied, or another
+/// precondition has failed for good, none of the others can be. A conflict that follows an
+/// unanswered attempt is resolved by reading back one of the records: if it has changed, that
+/// attempt was applied.
 #pragma once
 
 #include <cstdint>
@@ -19,51 +21,63 @@
 
 namespace dunebridge::state {
 
+/// Turns a transaction that may be answered late, or never, into one with a definite outcome.
 class RetriedTransaction {
   public:
-    // Never called with Outcome::unknown unless nothing but a new term can settle the matter.
-    using Done = std::function<void(const kv::TransactionResult&)>;
+    /// Called once with the outcome, unless abandon() or another send() comes first. The outcome is
+    /// kv::Outcome::unknown only if nothing but a new term can keep an unanswered attempt from
+    /// being applied.
+    using OutcomeCallback = std::function<void(const kv::TransactionResult&)>;
 
-    // The budget is charged for what is sent again; the caller charges it for the first copy.
-    RetriedTransaction(sansio::Context& port, kv::KvClient& store, TokenBucket& budget);
+    /// The retries are charged to `write_budget`; the caller charges it for the first attempt. All
+    /// references must outlive this object.
+    RetriedTransaction(sansio::Context& context, kv::KvClient& kv_client,
+                       TokenBucket& write_budget);
 
-    // The first precondition must be the one on the leader key. Those on records must name the
-    // revision at which only this leader can have changed them.
+    /// Sends the transaction; an earlier one that is still under way is abandoned.
+    ///
+    /// The first precondition must be the one on the leader key. Preconditions on records must name
+    /// the revision at which this leader left them, so that only this leader can have changed them
+    /// since.
     void send(std::vector<wire::Precondition> preconditions, std::vector<wire::Write> writes,
-              Done done);
-    // Forgets the transaction under way; its caller is not called any more.
+              OutcomeCallback on_outcome);
+    /// Forgets the transaction under way. Its callback is not called any more, although an attempt
+    /// that has been sent may still be applied.
     void abandon();
 
   private:
-    void send_copy();
-    void send_again();
-    // Goes on after the pause, unless another transaction has begun.
-    void after(Millis pause, std::function<void()> then);
-    void answered(const kv::TransactionResult& result);
-    void settle(const kv::TransactionResult& conflict);
-    void settle_by(std::size_t write, const kv::TransactionResult& conflict);
-    static bool written_by_a_user(const wire::Write& write, const kv::GetResult& result);
-    void confirm_applied(const wire::Precondition& precondition, KeyRevision now);
+    void send_attempt();
+    void retry_after_backoff();
+    void retry_or_give_up();
+    void handle_response(const kv::TransactionResult& result);
+
+    void resolve_conflict(const kv::TransactionResult& conflict);
+    void resolve_by_reading_back(const wire::Write& write, const kv::TransactionResult& conflict);
+    void confirm_applied(const wire::Precondition& precondition, KeyRevision current_revision);
+    const wire::Precondition* precondition_for(const wire::Write& write) const;
+    const wire::Write* write_to_read_back() const;
+
     void finish(const kv::TransactionResult& result);
-    const wire::Precondition* precondition_of(const wire::Write& write) const;
-    std::optional<std::size_t> telling_write() const;
-    // Wraps a continuation so that it is dropped once another transaction has begun.
-    template <class Result, class Then>
-    std::function<void(const Result&)> while_current(Then then) {
-        return [this, then, sequence = sequence_](const Result& result) {
-            if (sequence == sequence_) then(result);
+    void finish_with_unknown_outcome();
+
+    /// Wraps a continuation so that it is dropped once another transaction has begun.
+    template <class... Results, class Continuation>
+    std::function<void(const Results&...)> unless_superseded(Continuation continuation) {
+        return [this, continuation, sequence = sequence_](const Results&... results) {
+            if (sequence == sequence_) continuation(results...);
         };
     }
 
     sansio::Context& context_;
     kv::KvClient& kv_client_;
-    TokenBucket& budget_;
-    std::uint64_t sequence_ = 0;
+    TokenBucket& write_budget_;
+    std::uint64_t sequence_ = 0;  ///< Number of the transaction under way.
     std::vector<wire::Precondition> preconditions_;
     std::vector<wire::Write> writes_;
-    Done done_;
-    int copies_ = 0;
-    bool some_lost_ = false;  // a copy without an answer may yet be applied, or has been
+    OutcomeCallback on_outcome_;
+    int attempts_ = 0;
+    /// An attempt had no answer: it has been applied, or may be applied at any time.
+    bool has_unanswered_attempt_ = false;
 };
 
 }  // namespace dunebridge::state
