--- a/src/api/ancestor_check.hpp
+++ b/src/api/ancestor_check.hpp
@@ -1,9 +1,6 @@
-// Finds out, for a job with more ancestors than one transaction can guard, whether any of them has
-// ended, a few at a time.
-//
-// What was found stays good for a part of `cancel_s`: a cancellation must have reached the jobs
-// after it within that time. The job's own end is not looked at here: the transaction that confirms
-// an answer does that, so that no answer is older than one already given.
+/// \file
+/// Finds out whether any ancestor of a job is terminal, for a job with more ancestors than one
+/// transaction can guard.
 #pragma once
 
 #include <functional>
@@ -17,40 +14,54 @@
 
 namespace dunebridge::api {
 
+/// Checks the ancestors of jobs in several transactions that only compare, each of as many
+/// ancestors as a transaction may have preconditions.
+///
+/// A check that found none terminal stays valid for a part of the cancellation deadline, because a
+/// cancellation must have reached the jobs that depend on it within that deadline. Whether the job
+/// itself is terminal is not checked here: the transaction that confirms the response does that, so
+/// that no response is older than one given before.
 class AncestorCheck {
   public:
-    enum class Outcome : std::uint8_t { none_ended, some_ended, unavailable };
-    // The ancestors that have ended, if some have.
-    using Done = std::function<void(const JobId& job, Outcome, const std::vector<JobId>& ended)>;
+    enum class Outcome : std::uint8_t {
+        none_terminal,
+        some_terminal,
+        unavailable  ///< The key-value store did not answer, or too many checks are under way.
+    };
+    /// Called once at the end of each check, possibly from within start(). `terminal` holds
+    /// ancestors that are terminal if the outcome says that there are some; not always all of them.
+    using OnChecked =
+        std::function<void(const JobId& job, Outcome, const std::vector<JobId>& terminal)>;
 
-    // Takes its requests from the budget, which the caller shares.
-    AncestorCheck(sansio::Context& port, kv::KvClient& store, const config::Config& config,
-                  TokenBucket& reads, Done done);
+    /// `read_budget` is shared with the caller, which owns it; each transaction takes one token.
+    AncestorCheck(sansio::Context& context, kv::KvClient& kv_client, const config::Config& config,
+                  TokenBucket& read_budget, OnChecked on_checked);
 
-    // Whether a check of the job that found none ended is recent enough.
-    bool fresh(const JobId& job) const;
-    // Begins, unless a check of the job is under way.
+    /// Whether a check of the job that found no terminal ancestor is recent enough.
+    bool is_fresh(const JobId& job) const;
+    /// Begins a check of the job; does nothing if one is under way.
     void start(const JobId& job, const std::vector<JobId>& ancestors);
 
   private:
     struct Check {
-        std::vector<JobId> left;
-        Instant started{};
+        std::vector<JobId> unchecked;
+        Instant started_at{};
     };
 
-    void next_step(const JobId& job);
-    void stepped(const JobId& job, std::size_t checked, const kv::TransactionResult& result);
-    void finish(const JobId& job, Outcome outcome, const std::vector<JobId>& ended);
-    void forget_old();
+    void check_next(const JobId& job);
+    void handle_result(const JobId& job, std::size_t checked, const kv::TransactionResult& result);
+    void finish(const JobId& job, Outcome outcome, const std::vector<JobId>& terminal);
+    void forget_stale();
     Millis fresh_for() const;
 
     sansio::Context& context_;
     kv::KvClient& kv_client_;
     const config::Config& config_;
-    TokenBucket& reads_;
-    Done done_;
+    TokenBucket& read_budget_;
+    OnChecked on_checked_;
     std::map<JobId, Check> checks_;
-    std::map<JobId, Instant> none_ended_at_;  // when the check began that found none ended
+    /// When the last check began that found no terminal ancestor of the job.
+    std::map<JobId, Instant> none_terminal_at_;
 };
 
 }  // namespace dunebridge::api
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -18,38 +18,41 @@
     std::sort(ids.begin(), ids.end());
     ids.erase(std::unique(ids.begin(), ids.end()), ids.end());
 }
+
 }  // namespace
 
-DependencyLookup::DependencyLookup(sansio::Context& port, kv::KvClient& store, JobCache& cache)
-    : context_(port), kv_client_(store), cache_(cache) {}
+DependencyLookup::DependencyLookup(sansio::Context& context, kv::KvClient& kv_client,
+                                   JobCache& cache)
+    : context_(context), kv_client_(kv_client), cache_(cache) {}
 
-void DependencyLookup::start(const std::vector<JobId>& dependencies, Instant deadline, Done done) {
+void DependencyLookup::start(const std::vector<JobId>& dependencies, Instant deadline,
+                             OnFinished on_finished) {
     const auto lookup = std::make_shared<Lookup>();
     lookup->deadline = deadline;
-    lookup->done = std::move(done);
+    lookup->on_finished = std::move(on_finished);
     for (const auto& id : dependencies) {
         if (!cache_.known_done(id)) lookup->unread.push_back(id.get());
     }
-    read_jobs(lookup);
+    read_job_records(lookup);
 }
 
-void DependencyLookup::read_jobs(const Shared& lookup) {
+void DependencyLookup::read_job_records(const SharedLookup& lookup) {
     kv_client_.get_each(kv::kJobPrefix, lookup->unread, kReadTimeout,
                         [this, lookup](const kv::RowsResult& rows) {
-                            if (!rows.answered || too_late(*lookup)) {
+                            if (!rows.answered || is_late(*lookup)) {
                                 finish(lookup, Outcome::unavailable);
                             } else {
-                                take_jobs(lookup, rows);
+                                take_job_records(lookup, rows);
                             }
                         });
 }
 
-void DependencyLookup::take_jobs(const Shared& lookup, const kv::RowsResult& rows) {
+void DependencyLookup::take_job_records(const SharedLookup& lookup, const kv::RowsResult& rows) {
     auto& ancestors = lookup->result.ancestors;
     for (const auto& id : lookup->unread) {
         const auto row = rows.rows.find(kv::kJobPrefix + id);
         if (row == rows.rows.end()) {
-            lookup->without_job.push_back(id);
+            lookup->without_record.push_back(id);
             continue;
         }
         ancestors.emplace_back(id);
@@ -58,38 +61,36 @@
             ancestors.insert(ancestors.end(), job.ancestors.begin(), job.ancestors.end());
             if (job.dependency_parts > 0) lookup->with_parts.emplace_back(id);
         } catch (const wire::DecodeError& e) {
-            context_.log(sansio::LogLevel::error, "event=invalid_record key={} error=\"{}\"",
-                         row->second.key, e.what());
-            finish(lookup, Outcome::unavailable);
+            fail_on_invalid_record(lookup, row->second.key, e);
             return;
         }
     }
-    read_ends(lookup);
+    read_terminal_records(lookup);
 }
 
-// A job's record goes only after its end is there: one that has neither was never accepted.
-void DependencyLookup::read_ends(const Shared& lookup) {
-    kv_client_.get_each(kv::kTerminalPrefix, lookup->without_job, kReadTimeout,
+// A job record is removed only after the terminal record exists: a job that has neither was never
+// accepted.
+void DependencyLookup::read_terminal_records(const SharedLookup& lookup) {
+    kv_client_.get_each(kv::kTerminalPrefix, lookup->without_record, kReadTimeout,
                         [this, lookup](const kv::RowsResult& rows) {
-                            if (!rows.answered || too_late(*lookup)) {
+                            if (!rows.answered || is_late(*lookup)) {
                                 finish(lookup, Outcome::unavailable);
-                            } else if (!take_ends(*lookup, rows)) {
+                            } else if (!take_terminal_records(*lookup, rows)) {
                                 finish(lookup, Outcome::never_accepted);
                             } else {
-                                read_parts(lookup);
+                                read_next_parts(lookup);
                             }
                         });
 }
 
-// False if some job has no end.
-bool DependencyLookup::take_ends(Lookup& lookup, const kv::RowsResult& rows) {
-    for (const auto& id : lookup.without_job) {
+bool DependencyLookup::take_terminal_records(Lookup& lookup, const kv::RowsResult& rows) {
+    for (const auto& id : lookup.without_record) {
         const auto row = rows.rows.find(kv::kTerminalPrefix + id);
         if (row == rows.rows.end()) return false;
-        const auto end = kv::decode_terminal_record(row->second.value);
-        if (end.done()) {
+        const auto terminal = kv::decode_terminal_record(row->second.value);
+        if (terminal.done()) {
             const JobId job(id);
-            cache_.set_end(job, {job, JobPhase::done, end.tasks.value_or(0), 0});
+            cache_.set_terminal(job, {job, JobPhase::done, terminal.tasks.value_or(0), 0});
         } else {
             lookup.result.any_cancelled = true;
         }
@@ -97,7 +98,7 @@
     return true;
 }
 
-void DependencyLookup::read_parts(const Shared& lookup) {
+void DependencyLookup::read_next_parts(const SharedLookup& lookup) {
     if (lookup->with_parts.empty()) {
         finish(lookup, Outcome::found);
         return;
@@ -105,29 +106,39 @@
     const auto job = lookup->with_parts.back();
     lookup->with_parts.pop_back();
     kv_client_.list(kv::dependency_prefix(job), [this, lookup](const kv::ListResult& parts) {
-        if (!parts.answered || too_late(*lookup)) {
-            finish(lookup, Outcome::unavailable);
-            return;
-        }
-        try {
-            const auto jobs = jobs_in_parts(parts.rows);
-            auto& ancestors = lookup->result.ancestors;
-            ancestors.insert(ancestors.end(), jobs.begin(), jobs.end());
-            read_parts(lookup);
-        } catch (const wire::DecodeError& e) {
-            context_.log(sansio::LogLevel::error, "event=invalid_record key={} error=\"{}\"",
-                         parts.rows.front().key, e.what());
+        if (!parts.answered || is_late(*lookup)) {
             finish(lookup, Outcome::unavailable);
+        } else {
+            take_parts(lookup, parts);
         }
     });
 }
 
-void DependencyLookup::finish(const Shared& lookup, Outcome outcome) {
+void DependencyLookup::take_parts(const SharedLookup& lookup, const kv::ListResult& parts) {
+    try {
+        const auto jobs = jobs_in_parts(parts.rows);
+        auto& ancestors = lookup->result.ancestors;
+        ancestors.insert(ancestors.end(), jobs.begin(), jobs.end());
+    } catch (const wire::DecodeError& e) {
+        fail_on_invalid_record(lookup, parts.rows.front().key, e);
+        return;
+    }
+    read_next_parts(lookup);
+}
+
+void DependencyLookup::fail_on_invalid_record(const SharedLookup& lookup, const std::string& key,
+                                              const wire::DecodeError& error) {
+    context_.log(sansio::LogLevel::error, "event=invalid_record key={} error=\"{}\"", key,
+                 error.what());
+    finish(lookup, Outcome::unavailable);
+}
+
+void DependencyLookup::finish(const SharedLookup& lookup, Outcome outcome) {
     auto& ancestors = lookup->result.ancestors;
     sort_unique(ancestors);
     std::erase_if(ancestors, [this](const JobId& id) { return cache_.known_done(id); });
     lookup->result.outcome = outcome;
-    lookup->done(lookup->result);
+    lookup->on_finished(lookup->result);
 }
 
 std::vector<JobId> jobs_in_parts(const std::vector<kv::Row>& parts) {
--- a/src/api/dependency_lookup.hpp
+++ b/src/api/dependency_lookup.hpp
@@ -1,5 +1,6 @@
-// Reads what a submission needs to know of the jobs that it names: that each was accepted, whether
-// one is cancelled, and what must be done before them in turn.
+/// \file
+/// Reads what a submission needs to know of the jobs that it names as dependencies: that each was
+/// accepted, whether one is cancelled, and their ancestors.
 #pragma once
 
 #include <functional>
@@ -13,53 +14,60 @@
 
 namespace dunebridge::api {
 
+/// What a lookup found.
 struct DependencyResult {
     enum class Outcome : std::uint8_t {
         found,
-        never_accepted,  // one of them has no record and no end
-        unavailable      // the state service did not answer, or not in time
+        never_accepted,  ///< One of the jobs has neither a job record nor a terminal record.
+        unavailable      ///< The key-value store did not answer, or not in time.
     };
     Outcome outcome = Outcome::unavailable;
     bool any_cancelled = false;
-    // The jobs themselves and all that must be done before them, as far as not done; sorted.
+    /// The jobs themselves and all their ancestors, without those known to be done; sorted.
     std::vector<JobId> ancestors;
 };
 
+/// Runs lookups. Several may be under way at the same time.
 class DependencyLookup {
   public:
-    using Done = std::function<void(const DependencyResult&)>;
+    /// Called once when the lookup has ended, successfully or not.
+    using OnFinished = std::function<void(const DependencyResult&)>;
 
-    DependencyLookup(sansio::Context& port, kv::KvClient& store, JobCache& cache);
+    DependencyLookup(sansio::Context& context, kv::KvClient& kv_client, JobCache& cache);
 
-    // Gives up at the deadline.
-    void start(const std::vector<JobId>& dependencies, Instant deadline, Done done);
+    /// Gives up, with Outcome::unavailable, at the first response after the deadline.
+    void start(const std::vector<JobId>& dependencies, Instant deadline, OnFinished on_finished);
 
   private:
-    // One lookup under way; owned by the continuations of its calls.
+    /// One lookup under way; owned by the continuations of its calls.
     struct Lookup {
         DependencyResult result;
-        std::vector<std::string> unread;       // ids whose records are to be read
-        std::vector<std::string> without_job;  // ids that have no record
-        std::vector<JobId> with_parts;         // jobs whose ancestors have records of their own
+        std::vector<std::string> unread;          ///< Ids whose job records are to be read.
+        std::vector<std::string> without_record;  ///< Ids that have no job record.
+        std::vector<JobId> with_parts;  ///< Jobs whose ancestors are in records of their own.
         Instant deadline{};
-        Done done;
+        OnFinished on_finished;
     };
-    using Shared = std::shared_ptr<Lookup>;
+    using SharedLookup = std::shared_ptr<Lookup>;
 
-    void read_jobs(const Shared& lookup);
-    void take_jobs(const Shared& lookup, const kv::RowsResult& rows);
-    void read_ends(const Shared& lookup);
-    bool take_ends(Lookup& lookup, const kv::RowsResult& rows);
-    void read_parts(const Shared& lookup);
-    void finish(const Shared& lookup, DependencyResult::Outcome outcome);
-    bool too_late(const Lookup& lookup) const { return context_.now() > lookup.deadline; }
+    void read_job_records(const SharedLookup& lookup);
+    void take_job_records(const SharedLookup& lookup, const kv::RowsResult& rows);
+    void read_terminal_records(const SharedLookup& lookup);
+    /// Returns whether each job without a job record has a terminal record.
+    bool take_terminal_records(Lookup& lookup, const kv::RowsResult& rows);
+    void read_next_parts(const SharedLookup& lookup);
+    void take_parts(const SharedLookup& lookup, const kv::ListResult& parts);
+    void fail_on_invalid_record(const SharedLookup& lookup, const std::string& key,
+                                const wire::DecodeError& error);
+    void finish(const SharedLookup& lookup, DependencyResult::Outcome outcome);
+    bool is_late(const Lookup& lookup) const { return context_.now() > lookup.deadline; }
 
     sansio::Context& context_;
     kv::KvClient& kv_client_;
     JobCache& cache_;
 };
 
-// The jobs named by the parts of a job's dependency records. Throws wire::DecodeError.
+/// The jobs named in a job's dependency records, sorted, each once. Throws wire::DecodeError.
 std::vector<JobId> jobs_in_parts(const std::vector<kv::Row>& parts);
 
 }  // namespace dunebridge::api
--- a/src/api/job_cache.cpp
+++ b/src/api/job_cache.cpp
@@ -11,13 +11,13 @@
 }  // namespace
 
 const JobCache::Entry* JobCache::find(const JobId& job) const {
-    const auto it = slots_.find(job);
-    return it == slots_.end() ? nullptr : &it->second.entry;
+    const auto it = entries_.find(job);
+    return it == entries_.end() ? nullptr : &it->second;
 }
 
 bool JobCache::known_done(const JobId& job) const {
     const auto* entry = find(job);
-    return entry && entry->end && entry->end->phase == wire::JobPhase::done;
+    return entry && entry->terminal && entry->terminal->phase == wire::JobPhase::done;
 }
 
 const std::vector<JobId>& JobCache::ancestors(const JobId& job) const {
@@ -26,43 +26,42 @@
     return entry ? entry->ancestors : none;
 }
 
-JobCache::Slot& JobCache::slot(const JobId& job) {
-    const auto [it, added] = slots_.try_emplace(job);
+JobCache::Entry& JobCache::entry(const JobId& job) {
+    const auto [it, added] = entries_.try_emplace(job);
     if (added) {
-        ages_.push_back(job);
-        it->second.age = std::prev(ages_.end());
-        if (slots_.size() > kMaxJobs) evict();
+        oldest_first_.push_back(job);
+        if (entries_.size() > kMaxJobs) evict_oldest();
     }
     return it->second;
 }
 
-void JobCache::evict() {
-    const auto oldest = slots_.find(ages_.front());
-    ancestors_kept_ -= oldest->second.entry.ancestors.size();
-    slots_.erase(oldest);
-    ages_.pop_front();
+void JobCache::evict_oldest() {
+    const auto oldest = entries_.find(oldest_first_.front());
+    ancestor_count_ -= oldest->second.ancestors.size();
+    entries_.erase(oldest);
+    oldest_first_.pop_front();
 }
 
-void JobCache::set_record(const JobId& job, KeyRevision record) { slot(job).entry.record = record; }
+void JobCache::set_record(const JobId& job, KeyRevision record) { entry(job).record = record; }
 
-void JobCache::set_end(const JobId& job, const wire::JobStatus& end) {
-    slot(job).entry.end = end;
+void JobCache::set_terminal(const JobId& job, const wire::JobStatus& terminal) {
+    entry(job).terminal = terminal;
     set_ancestors(job, {});
 }
 
 void JobCache::set_ancestors(const JobId& job, std::vector<JobId> ancestors) {
     std::erase_if(ancestors, [this](const JobId& id) { return known_done(id); });
-    auto& kept = slot(job).entry.ancestors;
-    ancestors_kept_ += ancestors.size();
-    ancestors_kept_ -= kept.size();
+    auto& kept = entry(job).ancestors;
+    ancestor_count_ += ancestors.size();
+    ancestor_count_ -= kept.size();
     kept = std::move(ancestors);
-    while (ancestors_kept_ > kMaxAncestors && ages_.front() != job) evict();
+    while (ancestor_count_ > kMaxAncestors && oldest_first_.front() != job) evict_oldest();
 }
 
 void JobCache::remove_ancestor(const JobId& job, const JobId& ancestor) {
-    const auto it = slots_.find(job);
-    if (it == slots_.end()) return;
-    ancestors_kept_ -= std::erase(it->second.entry.ancestors, ancestor);
+    const auto it = entries_.find(job);
+    if (it == entries_.end()) return;
+    ancestor_count_ -= std::erase(it->second.ancestors, ancestor);
 }
 
 }  // namespace dunebridge::api
--- a/src/api/job_cache.hpp
+++ b/src/api/job_cache.hpp
@@ -1,9 +1,8 @@
-// What this node has read of jobs. An end never changes; that a job is open must be confirmed
-// before each answer that says so. Bounded: the jobs asked about for the first time longest ago go
-// first.
+/// \file
+/// What this node has read of jobs from the key-value store.
 #pragma once
 
-#include <list>
+#include <deque>
 #include <optional>
 #include <unordered_map>
 #include <vector>
@@ -13,39 +12,46 @@
 
 namespace dunebridge::api {
 
+/// A bounded cache of jobs' states; the jobs that were first asked about longest ago are evicted
+/// first.
+///
+/// A terminal state never changes, so a response may give it from here. That a job is open may have
+/// changed since: it must be confirmed before each response that says so.
 class JobCache {
   public:
     struct Entry {
-        KeyRevision record;  // revision of job/<id>; 0: no record
-        // What must be done before it, through other jobs too, and was not when last looked at.
+        /// Revision of the job record; 0 if it has none.
+        KeyRevision record;
+        /// Jobs that must be done before this one, also through others, and were not when last
+        /// read.
         std::vector<JobId> ancestors;
-        // How it ended, if answers may say so.
-        std::optional<wire::JobStatus> end;
+        /// The terminal state, if responses may show it.
+        std::optional<wire::JobStatus> terminal;
     };
 
-    // Null if nothing is known of the job.
+    /// Null if nothing is known of the job. Valid until the cache is next changed.
     const Entry* find(const JobId& job) const;
     bool known_done(const JobId& job) const;
+    /// Empty if nothing is known of the job. Valid until the cache is next changed.
     const std::vector<JobId>& ancestors(const JobId& job) const;
 
-    // Creates the entry if there is none.
+    // Each of these creates the entry if there is none.
+
     void set_record(const JobId& job, KeyRevision record);
-    void set_end(const JobId& job, const wire::JobStatus& end);
-    // Those that are known to be done are left out.
+    void set_terminal(const JobId& job, const wire::JobStatus& terminal);
+    /// Leaves out ancestors that are known to be done.
     void set_ancestors(const JobId& job, std::vector<JobId> ancestors);
+
+    /// Does nothing if the job or the ancestor is not there.
     void remove_ancestor(const JobId& job, const JobId& ancestor);
 
   private:
-    struct Slot {
-        Entry entry;
-        std::list<JobId>::iterator age;
-    };
-    Slot& slot(const JobId& job);
-    void evict();
+    Entry& entry(const JobId& job);
+    void evict_oldest();
 
-    std::list<JobId> ages_;  // the oldest first
-    std::unordered_map<JobId, Slot> slots_;
-    std::size_t ancestors_kept_ = 0;  // of all entries
+    std::unordered_map<JobId, Entry> entries_;
+    std::deque<JobId> oldest_first_;  ///< Each job of entries_, by when it was added.
+    std::size_t ancestor_count_ = 0;  ///< Of all entries together.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -11,30 +11,34 @@
 namespace dunebridge::api {
 
 using sansio::LogLevel;
-using Kind = JobLookupResult::Kind;
+using Outcome = JobLookupResult::Outcome;
 
-void JobLookup::start(PendingRequest pending, Stage stage) {
+void JobLookup::start(PendingRequest pending, FirstRead first_read) {
     const auto job = pending.job;
     const bool cancels = pending.intent == Intent::cancel;
     const auto [it, added] = lookups_.try_emplace(job);
     it->second.waiting.push_back(std::move(pending));
     if (!added) return;
-    it->second.stage = stage;
+    it->second.next_read = first_read;
     // Cancellations go before what is only asked.
-    cancels ? queue_.push_front(job) : queue_.push_back(job);
+    if (cancels) {
+        unsent_.push_front(job);
+    } else {
+        unsent_.push_back(job);
+    }
 }
 
 bool JobLookup::has_unsent() {
-    while (!queue_.empty() && lookups_.at(queue_.front()).waiting.empty()) {
-        lookups_.erase(queue_.front());  // all who waited were given up
-        queue_.pop_front();
+    while (!unsent_.empty() && lookups_.at(unsent_.front()).waiting.empty()) {
+        lookups_.erase(unsent_.front());
+        unsent_.pop_front();
     }
-    return !queue_.empty();
+    return !unsent_.empty();
 }
 
 void JobLookup::send_next() {
-    const auto job = queue_.front();
-    queue_.pop_front();
+    const auto job = unsent_.front();
+    unsent_.pop_front();
     send(job);
 }
 
@@ -43,34 +47,35 @@
 }
 
 void JobLookup::send(const JobId& job) {
-    const bool end = lookups_.at(job).stage == Stage::end;
-    const auto key = end ? kv::terminal_key(job) : kv::job_key(job);
-    kv_client_.get(key, kReadTimeout, [this, job, end](const kv::GetResult& result) {
+    const bool terminal = lookups_.at(job).next_read == FirstRead::terminal_record;
+    const auto key = terminal ? kv::terminal_key(job) : kv::job_key(job);
+    kv_client_.get(key, kReadTimeout, [this, job, terminal](const kv::GetResult& result) {
         if (!result.answered) {
-            finish(job, Kind::unavailable);
-        } else if (end) {
-            end_read(job, result);
+            finish(job, Outcome::unavailable);
+        } else if (terminal) {
+            handle_terminal_record(job, result);
         } else {
-            record_read(job, result);
+            handle_job_record(job, result);
         }
     });
 }
 
-void JobLookup::end_read(const JobId& job, const kv::GetResult& result) {
+void JobLookup::handle_terminal_record(const JobId& job, const kv::GetResult& result) {
     if (!result.row) {
-        lookups_.at(job).stage = Stage::record;
-        queue_.push_front(job);
+        lookups_.at(job).next_read = FirstRead::job_record;
+        unsent_.push_front(job);
         return;
     }
-    const auto end = kv::decode_terminal_record(result.row->value);
-    finish(job, Kind::ended, {job, end.phase, end.done() ? end.tasks.value_or(0) : 0, 0});
+    const auto record = kv::decode_terminal_record(result.row->value);
+    const auto tasks_done = record.done() ? record.tasks.value_or(0) : 0;
+    finish(job, Outcome::terminal, {job, record.phase, tasks_done, 0});
 }
 
-void JobLookup::record_read(const JobId& job, const kv::GetResult& result) {
+void JobLookup::handle_job_record(const JobId& job, const kv::GetResult& result) {
     if (!result.row) {
         cache_.set_record(job, KeyRevision());
         cache_.set_ancestors(job, {});
-        finish(job, Kind::absent);
+        finish(job, Outcome::no_record);
         return;
     }
     try {
@@ -82,41 +87,48 @@
         }
         cache_.set_ancestors(job, record.ancestors);
     } catch (const wire::DecodeError& e) {
-        bad_record(job, result.row->key, e.what());
+        fail_on_invalid_record(job, result.row->key, e);
         return;
     }
-    finish(job, Kind::known);
+    finish(job, Outcome::has_record);
 }
 
-// They were created with the job's record; some are missing only once the job is over.
 void JobLookup::read_parts(const JobId& job, std::uint64_t expected) {
     kv_client_.list(kv::dependency_prefix(job), [this, job, expected](const kv::ListResult& parts) {
-        if (!parts.answered || parts.rows.size() != expected) {
-            cache_.set_record(job, KeyRevision());  // it is read again next time
-            finish(job, Kind::unavailable);
-            return;
-        }
-        try {
-            cache_.set_ancestors(job, jobs_in_parts(parts.rows));
-        } catch (const wire::DecodeError& e) {
-            cache_.set_record(job, KeyRevision());
-            bad_record(job, parts.rows.front().key, e.what());
-            return;
-        }
-        finish(job, Kind::known);
+        handle_parts(job, expected, parts);
     });
 }
 
-void JobLookup::bad_record(const JobId& job, const std::string& key, const char* error) {
-    context_.log(LogLevel::error, "event=invalid_record key={} error=\"{}\"", key, error);
-    finish(job, Kind::unavailable);
+// The parts were created together with the job record; some are missing only once the job is
+// terminal. Where they can't be had, the job record is forgotten, so that it is read again.
+void JobLookup::handle_parts(const JobId& job, std::uint64_t expected,
+                             const kv::ListResult& parts) {
+    if (!parts.answered || parts.rows.size() != expected) {
+        cache_.set_record(job, KeyRevision());
+        finish(job, Outcome::unavailable);
+        return;
+    }
+    try {
+        cache_.set_ancestors(job, jobs_in_parts(parts.rows));
+    } catch (const wire::DecodeError& e) {
+        cache_.set_record(job, KeyRevision());
+        fail_on_invalid_record(job, parts.rows.front().key, e);
+        return;
+    }
+    finish(job, Outcome::has_record);
+}
+
+void JobLookup::fail_on_invalid_record(const JobId& job, const std::string& key,
+                                       const wire::DecodeError& error) {
+    context_.log(LogLevel::error, "event=invalid_record key={} error=\"{}\"", key, error.what());
+    finish(job, Outcome::unavailable);
 }
 
-void JobLookup::finish(const JobId& job, JobLookupResult::Kind kind, wire::JobStatus end) {
+void JobLookup::finish(const JobId& job, Outcome outcome, wire::JobStatus terminal) {
     const auto it = lookups_.find(job);
     auto waiting = std::move(it->second.waiting);
     lookups_.erase(it);
-    done_(std::move(waiting), {kind, std::move(end)});
+    on_finished_(std::move(waiting), {outcome, std::move(terminal)});
 }
 
 }  // namespace dunebridge::api
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -1,9 +1,6 @@
-// Reads what the state service holds of a job: first how it ended, where that may be, then its
-// record.
-//
-// Requests about the same job share one read. What is found is no answer by itself, unless the job
-// has ended: the caller confirms it with a later transaction, so that a request that joins a read
-// under way is told nothing older than when it came.
+/// \file
+/// Reads what the key-value store holds of a job: its terminal record, where it may have one, then
+/// its job record.
 #pragma once
 
 #include <cstdint>
@@ -20,53 +17,69 @@
 
 namespace dunebridge::api {
 
+/// What a lookup found.
 struct JobLookupResult {
-    enum class Kind : std::uint8_t {
-        ended,   // as `end` says
-        known,   // its record is in the cache
-        absent,  // no record; what may be known of its end is to be confirmed
-        unavailable
+    enum class Outcome : std::uint8_t {
+        terminal,    ///< The job has ended, as `terminal` says.
+        has_record,  ///< It has a job record, whose content is in the cache now.
+        no_record,   ///< It has no job record. Whether it is terminal must be confirmed.
+        unavailable  ///< The key-value store did not answer, or a record cannot be decoded.
     };
-    Kind kind = Kind::unavailable;
-    wire::JobStatus end;
+    Outcome outcome = Outcome::unavailable;
+    wire::JobStatus terminal;  ///< Of Outcome::terminal only.
 };
 
+/// Queues lookups and runs them; requests about the same job share one lookup.
+///
+/// Except for a terminal state, what is found is no response by itself: the caller confirms it with
+/// a later transaction, so that a request which joins a lookup under way is told nothing older than
+/// its own arrival.
 class JobLookup {
   public:
-    // Where a lookup begins: a job that is known not to have ended needs only its record.
-    enum class Stage : std::uint8_t { end, record };
-    // All requests that waited for the job, and what was found.
-    using Done = std::function<void(std::vector<PendingRequest>, const JobLookupResult&)>;
+    /// The record to be read first: a job that is known not to be terminal needs only its job
+    /// record.
+    enum class FirstRead : std::uint8_t { terminal_record, job_record };
+    /// Called once at the end of each lookup with all requests that waited for it.
+    using OnFinished = std::function<void(std::vector<PendingRequest>, const JobLookupResult&)>;
 
-    JobLookup(sansio::Context& port, kv::KvClient& store, JobCache& cache, Done done)
-        : context_(port), kv_client_(store), cache_(cache), done_(std::move(done)) {}
+    JobLookup(sansio::Context& context, kv::KvClient& kv_client, JobCache& cache,
+              OnFinished on_finished)
+        : context_(context),
+          kv_client_(kv_client),
+          cache_(cache),
+          on_finished_(std::move(on_finished)) {}
 
-    void start(PendingRequest pending, Stage stage);
-    // Whether there is a read to be sent, and sends it: the caller keeps to the budget.
+    /// Queues a lookup of the request's job, or joins the one that there is.
+    void start(PendingRequest pending, FirstRead first_read);
+    /// Whether there is a read to be sent. Forgets queued lookups for which no request waits any
+    /// more.
     bool has_unsent();
+    /// Sends the next read; has_unsent() must be true. The caller keeps to the read budget.
     void send_next();
-    // Removes the waiting requests for which the condition holds.
+    /// Removes the waiting requests for which the condition holds; it is called once for each.
     void drop_if(const std::function<bool(const PendingRequest&)>& condition);
 
   private:
     struct Lookup {
-        Stage stage = Stage::end;
+        FirstRead next_read = FirstRead::terminal_record;
         std::vector<PendingRequest> waiting;
     };
 
     void send(const JobId& job);
-    void end_read(const JobId& job, const kv::GetResult& result);
-    void record_read(const JobId& job, const kv::GetResult& result);
+    void handle_terminal_record(const JobId& job, const kv::GetResult& result);
+    void handle_job_record(const JobId& job, const kv::GetResult& result);
     void read_parts(const JobId& job, std::uint64_t expected);
-    void bad_record(const JobId& job, const std::string& key, const char* error);
-    void finish(const JobId& job, JobLookupResult::Kind kind, wire::JobStatus end = {});
+    void handle_parts(const JobId& job, std::uint64_t expected, const kv::ListResult& parts);
+    void fail_on_invalid_record(const JobId& job, const std::string& key,
+                                const wire::DecodeError& error);
+    void finish(const JobId& job, JobLookupResult::Outcome outcome, wire::JobStatus terminal = {});
 
     sansio::Context& context_;
     kv::KvClient& kv_client_;
     JobCache& cache_;
-    Done done_;
+    OnFinished on_finished_;
     std::map<JobId, Lookup> lookups_;
-    std::deque<JobId> queue_;  // whose next read has not been sent
+    std::deque<JobId> unsent_;  ///< Jobs whose next read has not been sent.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -73,7 +73,7 @@
 void JobService::cancel(RequestId request, const JobId& job) {
     auto pending = new_request(request, job, Intent::cancel);
     if (!answer_if_ended(pending)) {
-        lookup_records_.start(std::move(pending), JobLookup::Stage::end);
+        lookup_records_.start(std::move(pending), JobLookup::FirstRead::terminal_record);
     }
 }
 
@@ -86,12 +86,12 @@
 // No answer shows a cancellation that this node's log does not hold yet.
 void JobService::end_found(PendingRequest pending, const JobStatus& end) {
     if (end.phase == JobPhase::done) {
-        cache_.set_end(pending.job, end);
+        cache_.set_terminal(pending.job, end);
         answer_end(pending, end);
         return;
     }
     broadcast_cancellation_(end.id, [this, pending = std::move(pending), end] {
-        cache_.set_end(pending.job, end);
+        cache_.set_terminal(pending.job, end);
         answer_end(pending, end);
     });
 }
@@ -110,8 +110,8 @@
 
 bool JobService::answer_if_ended(const PendingRequest& pending) {
     const auto* known = cache_.find(pending.job);
-    if (!known || !known->end) return false;
-    answer_end(pending, *known->end);
+    if (!known || !known->terminal) return false;
+    answer_end(pending, *known->terminal);
     return true;
 }
 
@@ -184,7 +184,7 @@
                 const JobStatus end{pending.job, JobPhase::cancelled, 0, 0};
                 end_found(std::move(pending), end);
             } else if (result.outcome == Outcome::conflict && ++pending.tries <= kMaxTries) {
-                lookup_records_.start(std::move(pending), JobLookup::Stage::end);
+                lookup_records_.start(std::move(pending), JobLookup::FirstRead::terminal_record);
             } else {
                 answer_unavailable(pending);
             }
--- a/src/api/linearizable_reads.cpp
+++ b/src/api/linearizable_reads.cpp
@@ -15,7 +15,7 @@
     if (pending.intent == Intent::submit || pending.ancestors_checked) return false;
     const auto& ancestors = cache_.ancestors(pending.job);
     if (ancestors.size() + 2 <= kv_client_.max_preconditions()) return false;
-    if (check_.fresh(pending.job)) {
+    if (check_.is_fresh(pending.job)) {
         pending.ancestors_checked = true;
         return false;
     }
@@ -34,7 +34,7 @@
     for (auto& pending : waiting) {
         if (outcome == AncestorCheck::Outcome::unavailable) {
             answer_unavailable(pending);
-        } else if (outcome == AncestorCheck::Outcome::some_ended) {
+        } else if (outcome == AncestorCheck::Outcome::some_terminal) {
             settle_ancestors(std::move(pending), ended);
         } else {
             pending.ancestors_checked = true;
@@ -93,9 +93,9 @@
     const std::set<std::string> failed(result.failed.begin(), result.failed.end());
     for (auto& pending : batch) {
         if (failed.contains(terminal_key(pending.job))) {
-            lookup_records_.start(std::move(pending), JobLookup::Stage::end);
+            lookup_records_.start(std::move(pending), JobLookup::FirstRead::terminal_record);
         } else if (failed.contains(job_key(pending.job))) {
-            lookup_records_.start(std::move(pending), JobLookup::Stage::record);
+            lookup_records_.start(std::move(pending), JobLookup::FirstRead::job_record);
         } else {
             const auto ended = ended_ancestors(pending, failed);
             settle_ancestors(std::move(pending), ended);
@@ -106,17 +106,17 @@
 // What the reads of a job's records have found, for all that asked about it.
 void JobService::looked_up(std::vector<PendingRequest> waiting, const JobLookupResult& result) {
     for (auto& pending : waiting) {
-        switch (result.kind) {
-            case JobLookupResult::Kind::unavailable:
+        switch (result.outcome) {
+            case JobLookupResult::Outcome::unavailable:
                 answer_unavailable(pending);
                 break;
-            case JobLookupResult::Kind::ended:
-                end_found(std::move(pending), result.end);
+            case JobLookupResult::Outcome::terminal:
+                end_found(std::move(pending), result.terminal);
                 break;
-            case JobLookupResult::Kind::known:
+            case JobLookupResult::Outcome::has_record:
                 job_known(std::move(pending));
                 break;
-            case JobLookupResult::Kind::absent:
+            case JobLookupResult::Outcome::no_record:
                 enqueue(std::move(pending));
                 break;
         }
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -174,7 +174,7 @@
     if (pending.submission.cancelled) {
         // Accepted all the same; nothing of it is anywhere.
         status.phase = JobPhase::cancelled;
-        cache_.set_end(pending.job, status);
+        cache_.set_terminal(pending.job, status);
     } else {
         cache_.set_record(pending.job, rev);
         cache_.set_ancestors(pending.job, pending.submission.record.ancestors);
@@ -198,7 +198,7 @@
         } else if (failed.contains(job_key(pending.job)) ||
                    failed.contains(terminal_key(pending.job))) {
             pending.intent = Intent::poll;
-            lookup_records_.start(std::move(pending), JobLookup::Stage::end);
+            lookup_records_.start(std::move(pending), JobLookup::FirstRead::terminal_record);
         } else {
             const auto ended = ended_ancestors(pending, failed);
             settle_ancestors(std::move(pending), ended);
