--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -44,11 +44,13 @@
       state_(context_, kv_client_, election_),
       loader_(context_, kv_client_, election_, state_, config_),
       writer_(context_, kv_client_, election_, state_, config_),
-      workers_(context_, election_, state_, config_,
+      worker_liveness_(context_, election_, config_),
+      released_machines_(context_),
+      workers_(context_, election_, state_, worker_liveness_, released_machines_, config_,
                [this](const workers::Finished& f) { run_time_estimator_.learn(*f.job, f.ran_s); }),
-      provisioner_(context_, election_, state_, workers_, machine_types_, run_time_estimator_,
-                   config_),
-      scheduler_(context_, state_, workers_, run_time_estimator_, config_),
+      provisioner_(context_, election_, state_, worker_liveness_, released_machines_,
+                   machine_types_, run_time_estimator_, config_),
+      scheduler_(context_, state_, worker_liveness_, run_time_estimator_, config_),
       jobs_(
           context_, kv_client_, config_, machine_types_.all(),
           [this](const JobId& id) { return progress(id); },
@@ -104,6 +106,7 @@
     const bool leads_now = election_.is_leader();
     if (leads_now && (!led_ || generation_ != election_.generation())) {
         generation_ = election_.generation();
+        released_machines_.clear();
         workers_.reset();
         provisioner_.reset();
         writer_.reset();
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -22,7 +22,9 @@
 #include "state/cluster_state_loader.hpp"
 #include "state/cluster_state_writer.hpp"
 #include "state/machine_type_catalog.hpp"
+#include "state/released_machines.hpp"
 #include "state/run_time_estimator.hpp"
+#include "state/worker_liveness.hpp"
 #include "workers/worker_manager.hpp"
 
 namespace dunebridge::controller {
@@ -91,6 +93,8 @@
     state::ClusterStateWriter writer_;
     state::MachineTypeCatalog machine_types_;
     state::RunTimeEstimator run_time_estimator_;
+    state::WorkerLiveness worker_liveness_;
+    state::ReleasedMachines released_machines_;
     workers::WorkerManager workers_;
     provisioning::Provisioner provisioner_;
     scheduler::Scheduler scheduler_;
--- a/src/provisioning/machine_inventory.cpp
+++ b/src/provisioning/machine_inventory.cpp
@@ -17,12 +17,13 @@
 
 MachineInventory::MachineInventory(sansio::Context& port, CloudClient& cloud,
                                    state::ClusterState& cluster_state,
-                                   workers::WorkerManager& workers, const config::Config& config,
+                                   const state::ReleasedMachines& released_machines,
+                                   const config::Config& config,
                                    std::function<void(state::Machine&)> failed)
     : context_(port),
       cloud_(cloud),
       state_(cluster_state),
-      workers_(workers),
+      released_machines_(released_machines),
       config_(config),
       failed_(std::move(failed)) {}
 
@@ -73,7 +74,7 @@
 
 void MachineInventory::take_row(const wire::MachineListing& row) {
     seen_.insert(row.host);
-    if (workers_.was_released(row.host)) return;  // the list is late
+    if (released_machines_.contains(row.host)) return;  // the list is late
     auto* machine = state_.find_machine(row.host);
     if (!machine) {
         machine = &state_.add_machine(row.host, row.machine_type, row.zone, row.spot);
--- a/src/provisioning/machine_inventory.hpp
+++ b/src/provisioning/machine_inventory.hpp
@@ -10,8 +10,8 @@
 #include "provisioning/cloud_client.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
+#include "state/released_machines.hpp"
 #include "wire/messages.hpp"
-#include "workers/worker_manager.hpp"
 
 namespace dunebridge::provisioning {
 
@@ -19,7 +19,7 @@
   public:
     // `failed` is called for machines that the cloud reports as failed, once each.
     MachineInventory(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
-                     workers::WorkerManager& workers, const config::Config& config,
+                     const state::ReleasedMachines& released_machines, const config::Config& config,
                      std::function<void(state::Machine&)> failed);
 
     void tick();
@@ -36,7 +36,7 @@
     sansio::Context& context_;
     CloudClient& cloud_;
     state::ClusterState& state_;
-    workers::WorkerManager& workers_;
+    const state::ReleasedMachines& released_machines_;
     const config::Config& config_;
     std::function<void(state::Machine&)> failed_;
     bool reading_ = false;
--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -20,24 +20,26 @@
 }  // namespace
 
 Provisioner::Provisioner(sansio::Context& port, coordination::Election& election,
-                         state::ClusterState& cluster_state, workers::WorkerManager& workers,
+                         state::ClusterState& cluster_state, const state::WorkerLiveness& liveness,
+                         state::ReleasedMachines& released_machines,
                          state::MachineTypeCatalog& machine_types,
                          const state::RunTimeEstimator& run_time_estimator,
                          const config::Config& config)
     : context_(port),
       election_(election),
       state_(cluster_state),
-      workers_(workers),
+      liveness_(liveness),
       types_(machine_types),
       run_time_estimator_(run_time_estimator),
       config_(config),
       cloud_(port, config.cloud_rps),
       machine_type_fetcher_(port, cloud_, machine_types),
       boot_monitor_(port, cluster_state, types_),
-      scale_in_(port, cloud_, cluster_state, workers, types_, boot_monitor_, config),
-      list_(port, cloud_, cluster_state, workers, config,
+      scale_in_(port, cloud_, cluster_state, liveness, released_machines, types_, boot_monitor_,
+                config),
+      list_(port, cloud_, cluster_state, released_machines, config,
             [this](Machine& machine) { scale_in_.release(machine, ScaleInReason::failed); }),
-      scale_outs_(port, cloud_, election, cluster_state, workers, config) {}
+      scale_outs_(port, cloud_, election, cluster_state, released_machines, config) {}
 
 void Provisioner::reset() {
     list_.reset();
@@ -131,7 +133,7 @@
     const auto& worker = machine.worker;
     // Up long ago by the list, and yet without a report in this term: most likely gone.
     const bool lost =
-        !worker.heartbeat_received && !machine.instance.starting && workers_.late(machine);
+        !worker.heartbeat_received && !machine.instance.starting && liveness_.is_late(machine);
     const bool releasing = machine.instance.deleting || machine.cordoned || machine.preemption_at ||
                            boot_monitor_.to_replace(machine);
     const bool idle = worker.heartbeat_received && machine.tasks.empty();
--- a/src/provisioning/provisioner.hpp
+++ b/src/provisioning/provisioner.hpp
@@ -18,15 +18,17 @@
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
 #include "state/machine_type_catalog.hpp"
+#include "state/released_machines.hpp"
 #include "state/run_time_estimator.hpp"
-#include "workers/worker_manager.hpp"
+#include "state/worker_liveness.hpp"
 
 namespace dunebridge::provisioning {
 
 class Provisioner {
   public:
     Provisioner(sansio::Context& port, coordination::Election& election,
-                state::ClusterState& cluster_state, workers::WorkerManager& workers,
+                state::ClusterState& cluster_state, const state::WorkerLiveness& liveness,
+                state::ReleasedMachines& released_machines,
                 state::MachineTypeCatalog& machine_types,
                 const state::RunTimeEstimator& run_time_estimator, const config::Config& config);
 
@@ -51,7 +53,7 @@
     sansio::Context& context_;
     coordination::Election& election_;
     state::ClusterState& state_;
-    workers::WorkerManager& workers_;
+    const state::WorkerLiveness& liveness_;
     const state::MachineTypeCatalog& types_;
     const state::RunTimeEstimator& run_time_estimator_;
     const config::Config& config_;
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -53,12 +53,14 @@
 }  // namespace
 
 ScaleIn::ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
-                 workers::WorkerManager& workers, const state::MachineTypeCatalog& types,
-                 const BootMonitor& startups, const config::Config& config)
+                 const state::WorkerLiveness& liveness, state::ReleasedMachines& released_machines,
+                 const state::MachineTypeCatalog& types, const BootMonitor& startups,
+                 const config::Config& config)
     : context_(port),
       cloud_(cloud),
       state_(cluster_state),
-      workers_(workers),
+      liveness_(liveness),
+      released_machines_(released_machines),
       types_(types),
       boot_monitor_(startups),
       config_(config) {}
@@ -95,7 +97,7 @@
             (!machine.worker.heartbeat_received && machine.tasks.empty()))
             continue;
         ++up;
-        if (workers_.late(machine)) ++silent;
+        if (liveness_.is_late(machine)) ++silent;
     }
     many_silent_ = silent >= kManySilent && silent * 2 > up;
 }
@@ -147,18 +149,19 @@
 
 // Of a machine that has reported to this term's leader; none: it is kept.
 std::optional<ScaleInReason> ScaleIn::release_reason_with_heartbeat(const Machine& machine) const {
-    const bool missed_two = workers_.silent(machine, config_.heartbeat_interval * 2);
+    const bool missed_two = liveness_.is_silent(machine, config_.heartbeat_interval * 2);
     const bool taken = machine.preemption_at && context_.now() > *machine.preemption_at;
     if (taken && missed_two) return ScaleInReason::taken;
     const bool unlisted =
         machine.instance.listed && machine.instance.missed_listings >= kMissingLists;
     if (unlisted && missed_two) return ScaleInReason::unlisted;
     // No command reaches it, and its lease ends by itself.
-    if (workers_.unresponsive_for(machine) > patience()) return ScaleInReason::unresponsive;
+    if (liveness_.unresponsive_for(machine) > patience()) return ScaleInReason::unresponsive;
     // More likely this node's own trouble than that of so many machines at once.
-    if (many_silent_ && !workers_.silent(machine, config_.worker_lease * 2)) return std::nullopt;
+    if (many_silent_ && !liveness_.is_silent(machine, config_.worker_lease * 2))
+        return std::nullopt;
     const auto limit = machine.tasks.empty() ? config_.worker_lease : patience();
-    if (workers_.silent(machine, limit)) return ScaleInReason::silent;
+    if (liveness_.is_silent(machine, limit)) return ScaleInReason::silent;
     const bool drained = machine.cordoned && machine.tasks.empty();
     return drained ? std::optional(ScaleInReason::drained) : std::nullopt;
 }
@@ -182,7 +185,7 @@
         const auto saved_at = context_.now() + from_seconds(grace_s) + kSaveMargin;
         const bool now_or_never =
             machine.preemption_at && grace_s > 0 && saved_at >= *machine.preemption_at;
-        if (machine.cordoned || now_or_never) workers_.stop(machine, placement, grace_s);
+        if (machine.cordoned || now_or_never) state_.stop_task(placement, grace_s);
     }
 }
 
@@ -202,7 +205,7 @@
         }
         for (const auto& host : hosts) {
             released_.erase(host);
-            workers_.mark_released(host);
+            released_machines_.add(host);
             if (auto* machine = state_.find_machine(host)) state_.drop_machine(*machine);
         }
     });
--- a/src/provisioning/scale_in.hpp
+++ b/src/provisioning/scale_in.hpp
@@ -14,7 +14,8 @@
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
 #include "state/machine_type_catalog.hpp"
-#include "workers/worker_manager.hpp"
+#include "state/released_machines.hpp"
+#include "state/worker_liveness.hpp"
 
 namespace dunebridge::provisioning {
 
@@ -35,8 +36,9 @@
 class ScaleIn {
   public:
     ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
-            workers::WorkerManager& workers, const state::MachineTypeCatalog& types,
-            const BootMonitor& startups, const config::Config& config);
+            const state::WorkerLiveness& liveness, state::ReleasedMachines& released_machines,
+            const state::MachineTypeCatalog& types, const BootMonitor& startups,
+            const config::Config& config);
 
     // Another term begins.
     void reset();
@@ -59,7 +61,8 @@
     sansio::Context& context_;
     CloudClient& cloud_;
     state::ClusterState& state_;
-    workers::WorkerManager& workers_;
+    const state::WorkerLiveness& liveness_;
+    state::ReleasedMachines& released_machines_;
     const state::MachineTypeCatalog& types_;
     const BootMonitor& boot_monitor_;
     const config::Config& config_;
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -24,13 +24,13 @@
 }  // namespace
 
 ScaleOut::ScaleOut(sansio::Context& port, CloudClient& cloud, coordination::Election& election,
-                   state::ClusterState& cluster_state, workers::WorkerManager& workers,
-                   const config::Config& config)
+                   state::ClusterState& cluster_state,
+                   const state::ReleasedMachines& released_machines, const config::Config& config)
     : context_(port),
       cloud_(cloud),
       election_(election),
       state_(cluster_state),
-      workers_(workers),
+      released_machines_(released_machines),
       config_(config) {}
 
 void ScaleOut::reset() {
@@ -114,7 +114,7 @@
                  result.hosts.size());
     retry_at_.erase(key);
     auto hosts = result.hosts;
-    std::erase_if(hosts, [&](const auto& host) { return workers_.was_released(host); });
+    std::erase_if(hosts, [&](const auto& host) { return released_machines_.contains(host); });
     state_.scale_out_answered(key, hosts);
     for (const auto& host : hosts) {
         auto* machine = state_.find_machine(host);
--- a/src/provisioning/scale_out.hpp
+++ b/src/provisioning/scale_out.hpp
@@ -14,14 +14,14 @@
 #include "provisioning/scaling_plan.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
-#include "workers/worker_manager.hpp"
+#include "state/released_machines.hpp"
 
 namespace dunebridge::provisioning {
 
 class ScaleOut {
   public:
     ScaleOut(sansio::Context& port, CloudClient& cloud, coordination::Election& election,
-             state::ClusterState& cluster_state, workers::WorkerManager& workers,
+             state::ClusterState& cluster_state, const state::ReleasedMachines& released_machines,
              const config::Config& config);
 
     // Another term begins.
@@ -50,7 +50,7 @@
     CloudClient& cloud_;
     coordination::Election& election_;
     state::ClusterState& state_;
-    workers::WorkerManager& workers_;
+    const state::ReleasedMachines& released_machines_;
     const config::Config& config_;
     std::set<std::string> in_flight_;          // idempotency keys
     std::map<std::string, Instant> retry_at_;  // by idempotency key
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -24,11 +24,11 @@
 }  // namespace
 
 Scheduler::Scheduler(sansio::Context& port, state::ClusterState& cluster_state,
-                     workers::WorkerManager& workers, const state::RunTimeEstimator& run_times,
-                     const config::Config& config)
+                     const state::WorkerLiveness& liveness,
+                     const state::RunTimeEstimator& run_times, const config::Config& config)
     : context_(port),
       state_(cluster_state),
-      workers_(workers),
+      liveness_(liveness),
       run_time_estimator_(run_times),
       config_(config),
       pending_queue_(port, cluster_state, run_times, config) {}
@@ -66,7 +66,7 @@
         const double cores = machine.total.cores - machine.used.cores + machine.releasing.cores;
         if (cores + 1e-6 < least_cores) {
             full_machines_.push_back(&machine);
-        } else if (workers_.usable(machine)) {
+        } else if (liveness_.is_schedulable(machine)) {
             add_capacity(machine);
         }
     }
@@ -199,7 +199,7 @@
         if (context_.now() - machine.reserved_since < kKeptMost + kOpenAfter &&
             machine.reserved_since != Instant{})
             continue;
-        if (!machine.total.holds(job.task_resources()) || !workers_.usable(machine) ||
+        if (!machine.total.holds(job.task_resources()) || !liveness_.is_schedulable(machine) ||
             !allowed(job, machine))
             continue;
         // The share of the machine that must still end, weighed by how soon that begins.
@@ -219,7 +219,7 @@
 void Scheduler::find_victims() {
     victims_.emplace();
     for (auto* machine : full_machines_) {
-        if (workers_.usable(*machine)) add_capacity(*machine);
+        if (liveness_.is_schedulable(*machine)) add_capacity(*machine);
     }
     for (std::size_t i = 0; i < capacities_.size(); ++i) {
         for (auto& [key, placement] : machines_[i]->tasks) {
@@ -261,7 +261,7 @@
         if (!later.holds(need)) continue;
         victim->preempted = true;
         const bool saves = victim->job->spec.checkpoint_every_s > 0;
-        workers_.stop(*machines_[i], *victim, saves ? victim->job->spec.checkpoint_s + 1 : 0);
+        state_.stop_task(*victim, saves ? victim->job->spec.checkpoint_s + 1 : 0);
         capacities_[i].later = later;
         promise(i);
         context_.log(sansio::LogLevel::info, "event=preempt victim={} for={} host={}",
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -16,14 +16,14 @@
 #include "scheduler/pending_queue.hpp"
 #include "state/cluster_state.hpp"
 #include "state/run_time_estimator.hpp"
-#include "workers/worker_manager.hpp"
+#include "state/worker_liveness.hpp"
 
 namespace dunebridge::scheduler {
 
 class Scheduler {
   public:
     Scheduler(sansio::Context& port, state::ClusterState& cluster_state,
-              workers::WorkerManager& workers, const state::RunTimeEstimator& run_times,
+              const state::WorkerLiveness& liveness, const state::RunTimeEstimator& run_times,
               const config::Config& config);
 
     // One pass: places what waits, and stops what must make room. Returns how many jobs waited.
@@ -49,7 +49,7 @@
 
     sansio::Context& context_;
     state::ClusterState& state_;
-    workers::WorkerManager& workers_;
+    const state::WorkerLiveness& liveness_;
     const state::RunTimeEstimator& run_time_estimator_;
     const config::Config& config_;
     PendingQueue pending_queue_;
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -303,10 +303,12 @@
     mark_progress_dirty(job, index, CommitUrgency::batched);
 }
 
-void ClusterState::set_stopping(Placement& p) {
+void ClusterState::stop_task(Placement& p, double grace_s) {
     if (p.stopping) return;
     p.stopping = true;
+    p.grace_s = grace_s;
     p.machine->releasing.add(p.job->task_resources());
+    request_commands(*p.machine);
 }
 
 void ClusterState::set_running(Placement& p, bool running) {
--- a/src/state/cluster_state.hpp
+++ b/src/state/cluster_state.hpp
@@ -94,8 +94,10 @@
     // The placement is proved gone (or was never sent). The task waits again unless it is done.
     void remove(Machine& machine, PlacementKey key);
     void set_running(Placement& placement, bool running);
-    // The placement is to be stopped: what it takes will be free.
-    void set_stopping(Placement& placement);
+    /// Has the task stopped by a command to its worker, unless it is being stopped already; its
+    /// resources count as about to be released. The task may save a checkpoint for `grace_s`
+    /// seconds first.
+    void stop_task(Placement& placement, double grace_s);
     const TeamUsage& use(const std::string& team) { return use_[team]; }
 
     // ---- rentals ----
--- /dev/null
+++ b/src/state/released_machines.cpp
@@ -0,0 +1,16 @@
+#include "state/released_machines.hpp"
+
+namespace dunebridge::state {
+
+namespace {
+// Longer than any message about a deleted machine is under way.
+constexpr Millis kRememberFor{900000};
+}  // namespace
+
+void ReleasedMachines::add(const MachineName& host) {
+    deleted_at_[host] = context_.now();
+    std::erase_if(deleted_at_,
+                  [&](const auto& entry) { return context_.now() - entry.second > kRememberFor; });
+}
+
+}  // namespace dunebridge::state
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -2,12 +2,15 @@
 
 #include <algorithm>
 
-#include "workers/fencing_token.hpp"
+#include "state/fencing_token.hpp"
+#include "state/worker_liveness.hpp"
 
 namespace dunebridge::workers {
 
+using state::is_unresponsive;
 using state::JobState;
 using state::Machine;
+using state::make_token;
 using state::Placement;
 using state::PlacementKey;
 using state::StartDelivery;
@@ -90,7 +93,7 @@
         }
         const bool settled =
             placement.seen || placement.sent == StartDelivery::awaiting_confirmation;
-        if (settled || unresponsive(machine)) continue;
+        if (settled || is_unresponsive(machine)) continue;
         out.push_back({CommandKind::start, placement.ref(), placement.attempt, 0});
         raise = raise || replaces_exited(machine, placement);
         placement.sent =
@@ -130,7 +133,7 @@
         auto& worker = machine->worker;
         worker.needs_commands = false;
         drop_unsent_to_stop(*machine);
-        if (!worker.heartbeat_received || machine->instance.deleting || unresponsive(*machine))
+        if (!worker.heartbeat_received || machine->instance.deleting || is_unresponsive(*machine))
             continue;
         if (worker.command_in_flight) continue;  // its answer requests commands again
         if (in_flight_ >= max_in_flight_) {
--- a/src/workers/heartbeat_processor.cpp
+++ b/src/workers/heartbeat_processor.cpp
@@ -4,8 +4,8 @@
 #include <optional>
 #include <utility>
 
+#include "state/fencing_token.hpp"
 #include "state/task_ranges.hpp"
-#include "workers/fencing_token.hpp"
 
 namespace dunebridge::workers {
 
@@ -13,9 +13,11 @@
 using state::ExitedTask;
 using state::Job;
 using state::Machine;
+using state::make_token;
 using state::Placement;
 using state::PlacementKey;
 using state::StartDelivery;
+using state::term_of;
 using wire::ExitReason;
 using wire::TaskPhase;
 using wire::TaskStatus;
--- a/src/workers/worker_conditions.hpp
+++ b/src/workers/worker_conditions.hpp
@@ -13,14 +13,6 @@
     direct_command  // a command that the leader sends, and the answer to it
 };
 
-// Answers that may be lost one after the other before a machine is taken for unresponsive.
-inline constexpr std::uint32_t kMaxUnacknowledged = 3;
-
-// Its reports arrive, but it acknowledges no answer.
-inline bool unresponsive(const state::Machine& machine) {
-    return machine.worker.unacknowledged_replies >= kMaxUnacknowledged;
-}
-
 inline bool must_stop(const state::Placement& placement) {
     return placement.stopping || placement.job->state == state::JobState::terminal ||
            placement.job->tasks[placement.index].done;
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -4,22 +4,20 @@
 #include <utility>
 #include <vector>
 
-#include "workers/fencing_token.hpp"
-#include "workers/worker_conditions.hpp"
+#include "state/fencing_token.hpp"
 
 namespace dunebridge::workers {
 
 using sansio::LogLevel;
 using state::Machine;
-using state::Placement;
+using state::make_token;
 using state::PlacementKey;
+using state::term_of;
 
 namespace {
 // Clocks of workers may run slower than this one's, by so much.
 constexpr double kDrift = 1.002;
 constexpr Millis kLeaseMargin{500};
-constexpr Millis kLateMargin{500};
-constexpr Millis kRememberDeleted{900000};
 constexpr Millis kSweepEvery{250};
 // A bound on memory only, several times the largest fleet: after an answer of the cloud was lost,
 // or while the list is late, all machines may be unknown at once.
@@ -29,69 +27,26 @@
 }  // namespace
 
 WorkerManager::WorkerManager(sansio::Context& port, coordination::Election& election,
-                             state::ClusterState& cluster_state, const config::Config& config,
+                             state::ClusterState& cluster_state,
+                             const state::WorkerLiveness& liveness,
+                             const state::ReleasedMachines& released_machines,
+                             const config::Config& config,
                              std::function<void(const Finished&)> finished)
     : context_(port),
       election_(election),
       state_(cluster_state),
+      liveness_(liveness),
+      released_machines_(released_machines),
       config_(config),
       heartbeat_processor_(port, election, cluster_state, std::move(finished)),
       commands_(port, election, cluster_state, config, heartbeat_processor_) {}
 
-void WorkerManager::reset() {
-    deleted_.clear();
-    unknown_workers_.clear();
-}
+void WorkerManager::reset() { unknown_workers_.clear(); }
 
 FencingToken WorkerManager::token(const Machine& machine) const {
     return make_token(election_.term(), machine.worker.fence_counter);
 }
 
-// ---- state of a machine ----
-
-bool WorkerManager::shown_this_term(const Machine& machine) const {
-    return term_of(machine.worker.acknowledged_token) == election_.term();
-}
-
-bool WorkerManager::silent(const Machine& machine, Millis limit) const {
-    const auto& worker = machine.worker;
-    return context_.now() -
-               (worker.heartbeat_received ? worker.last_heartbeat_at : worker.first_known_at) >
-           limit;
-}
-
-bool WorkerManager::late(const Machine& machine) const {
-    return silent(machine, config_.heartbeat_interval * 2 + kLateMargin);
-}
-
-Millis WorkerManager::unresponsive_for(const Machine& machine) const {
-    return unresponsive(machine) ? context_.now() - machine.worker.unacknowledged_since : Millis(0);
-}
-
-bool WorkerManager::usable(const Machine& machine) const {
-    const auto& worker = machine.worker;
-    const bool releasing = machine.cordoned || machine.instance.deleting ||
-                           machine.instance.failed || machine.preemption_at.has_value();
-    const bool in_touch = worker.heartbeat_received && shown_this_term(machine) && !late(machine) &&
-                          !unresponsive(machine);
-    // Direct commands do not renew the lease: without check-ins it runs out.
-    const bool lease_lasts = context_.now() - worker.last_reply_at <= config_.worker_lease / 2;
-    return in_touch && !releasing && lease_lasts && context_.now() >= worker.refused_until;
-}
-
-void WorkerManager::mark_released(const MachineName& host) {
-    deleted_[host] = context_.now();
-    std::erase_if(deleted_,
-                  [&](const auto& d) { return context_.now() - d.second > kRememberDeleted; });
-}
-
-void WorkerManager::stop(Machine& machine, Placement& placement, double grace_s) {
-    if (placement.stopping) return;
-    state_.set_stopping(placement);
-    placement.grace_s = grace_s;
-    state_.request_commands(machine);
-}
-
 // ---- check-ins ----
 
 void WorkerManager::refuse(RequestId id, const char* why) {
@@ -123,7 +78,7 @@
 
 // The machine that reports; null if the request is answered already.
 Machine* WorkerManager::machine_of(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
-    if (was_released(heartbeat.host)) {
+    if (released_machines_.contains(heartbeat.host)) {
         refuse(id, "returned");
         return nullptr;
     }
@@ -164,7 +119,7 @@
 // ---- time ----
 
 void WorkerManager::expire_lease(Machine& machine) {
-    if (!machine.worker.heartbeat_received || !shown_this_term(machine)) return;
+    if (!machine.worker.heartbeat_received || !liveness_.has_shown_this_term(machine)) return;
     const auto lease_ms = static_cast<double>(config_.worker_lease.count()) * kDrift;
     const auto lease = Millis(static_cast<std::int64_t>(lease_ms)) + kLeaseMargin;
     if (context_.now() - machine.worker.last_reply_at <= lease || machine.tasks.empty()) return;
@@ -183,7 +138,7 @@
     });
     for (auto& [host, machine] : state_.machines()) {
         expire_lease(machine);
-        if (unresponsive(machine)) commands_.drop_all_unsent(machine);
+        if (state::is_unresponsive(machine)) commands_.drop_all_unsent(machine);
     }
 }
 
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -15,6 +15,8 @@
 #include "coordination/election.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
+#include "state/released_machines.hpp"
+#include "state/worker_liveness.hpp"
 #include "wire/messages.hpp"
 #include "workers/command_dispatcher.hpp"
 #include "workers/heartbeat_processor.hpp"
@@ -24,7 +26,8 @@
 class WorkerManager {
   public:
     WorkerManager(sansio::Context& port, coordination::Election& election,
-                  state::ClusterState& cluster_state, const config::Config& config,
+                  state::ClusterState& cluster_state, const state::WorkerLiveness& liveness,
+                  const state::ReleasedMachines& released_machines, const config::Config& config,
                   std::function<void(const Finished&)> finished);
 
     // Answers a worker's report with its orders.
@@ -33,24 +36,8 @@
     // Another term begins.
     void reset();
 
-    // A machine that can be given work now. It has shown a token of this term: a late copy of a
-    // report could not, so it is there, and its answers reach it.
-    bool usable(const state::Machine& machine) const;
-    // No report has come for longer than the limit.
-    bool silent(const state::Machine& machine, Millis limit) const;
-    // Two reports have not come.
-    bool late(const state::Machine& machine) const;
-    // For how long at least its reports have arrived without acknowledging any answer; 0: they do.
-    Millis unresponsive_for(const state::Machine& machine) const;
-    // Stops the task. It may save its state for so long first.
-    void stop(state::Machine& machine, state::Placement& placement, double grace_s);
-    // The cloud has deleted the machine at the service's wish: late reports must not revive it.
-    void mark_released(const MachineName& host);
-    bool was_released(const MachineName& host) const { return deleted_.contains(host); }
-
   private:
     state::Machine* machine_of(RequestId id, const wire::WorkerHeartbeat& heartbeat);
-    bool shown_this_term(const state::Machine& machine) const;
     bool answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& heartbeat);
     void count_unacknowledged(state::Machine& machine) const;
     void refuse(RequestId id, const char* why);
@@ -61,10 +48,11 @@
     sansio::Context& context_;
     coordination::Election& election_;
     state::ClusterState& state_;
+    const state::WorkerLiveness& liveness_;
+    const state::ReleasedMachines& released_machines_;
     const config::Config& config_;
     HeartbeatProcessor heartbeat_processor_;
     CommandDispatcher commands_;
-    std::map<MachineName, Instant> deleted_;
     std::map<MachineName, Instant> unknown_workers_;  // and when they were first answered
     Instant next_sweep_{};
 };
