--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -47,7 +47,9 @@
       worker_liveness_(context_, election_, config_),
       released_machines_(context_),
       workers_(context_, election_, state_, worker_liveness_, released_machines_, config_,
-               [this](const workers::Finished& f) { run_time_estimator_.learn(*f.job, f.ran_s); }),
+               [this](const workers::CompletedTask& task) {
+                   run_time_estimator_.learn(*task.job, task.ran_s);
+               }),
       provisioner_(context_, election_, state_, worker_liveness_, released_machines_,
                    machine_types_, run_time_estimator_, config_),
       scheduler_(context_, state_, worker_liveness_, run_time_estimator_, config_),
@@ -199,7 +201,7 @@
         if (leads()) {
             const auto heartbeat = wire::decode_worker_heartbeat(doc.root());
             if (leadership_guard_.may_renew_leases(loader_.terminal_records_read_at())) {
-                workers_.checkin(request.id, heartbeat);
+                workers_.handle_heartbeat(request.id, heartbeat);
             } else {
                 context_.answer(request.id, 503, wire::encode_error("cancellations not known"), 1);
             }
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -29,14 +29,14 @@
 }
 }  // namespace
 
-CommandDispatcher::CommandDispatcher(sansio::Context& port, coordination::Election& election,
+CommandDispatcher::CommandDispatcher(sansio::Context& context, coordination::Election& election,
                                      state::ClusterState& cluster_state,
                                      const config::Config& config, HeartbeatProcessor& heartbeats)
-    : context_(port),
+    : context_(context),
       election_(election),
       state_(cluster_state),
       heartbeat_processor_(heartbeats),
-      client_(port),
+      client_(context),
       max_in_flight_(config::SocketBudget(config.fd_limit).commands) {}
 
 // ---- orders ----
@@ -44,22 +44,23 @@
 // An attempt is cleared only when nothing still under way could start it once more. Returns whether
 // the token must be raised: direct commands that were carried out may be repeated late, and would
 // start again what is cleared. A higher token, in the very message that clears it, refuses them.
-bool CommandDispatcher::add_clears(const Machine& machine,
-                                   std::vector<TaskCommand>& commands) const {
+bool CommandDispatcher::append_clear_commands(const Machine& machine,
+                                              std::vector<TaskCommand>& commands) const {
     const auto& worker = machine.worker;
     const bool shows_token =
         worker.acknowledged_token == make_token(election_.term(), worker.fence_counter);
     if (!shows_token || worker.command_in_flight) return false;
-    bool raise = false;
+    bool raise_fence = false;
     for (const auto& exited : worker.exited) {
         if (!state_.committed(exited.record, exited.outcome)) continue;
         commands.push_back({CommandKind::clear, exited.task, exited.attempt, 0});
-        raise = raise || exited.fenced_from > worker.fence_counter;
+        raise_fence = raise_fence || exited.fenced_from > worker.fence_counter;
     }
-    return raise;
+    return raise_fence;
 }
 
-void CommandDispatcher::add_stop(const Placement& placement, std::vector<TaskCommand>& commands) {
+void CommandDispatcher::append_stop_command(const Placement& placement,
+                                            std::vector<TaskCommand>& commands) {
     const bool wanted =
         placement.job->state == JobState::active && !placement.job->tasks[placement.index].done;
     const double grace_s = wanted ? placement.grace_s : 0;
@@ -68,7 +69,8 @@
 }
 
 // Whether a late repeat of a command could start the task's earlier attempt once more.
-bool CommandDispatcher::replaces_exited(const Machine& machine, const Placement& placement) {
+bool CommandDispatcher::replaces_exited_attempt(const Machine& machine,
+                                                const Placement& placement) {
     const auto& exited = machine.worker.exited;
     return std::any_of(exited.begin(), exited.end(), [&](const state::ExitedTask& earlier) {
         return earlier.fenced_from > machine.worker.fence_counter &&
@@ -76,11 +78,11 @@
     });
 }
 
-std::vector<TaskCommand> CommandDispatcher::commands(Machine& machine, Channel channel) {
-    const bool direct = channel == Channel::direct_command;
+std::vector<TaskCommand> CommandDispatcher::commands(Machine& machine, ExchangeKind exchange) {
+    const bool direct = exchange == ExchangeKind::direct_command;
     std::vector<TaskCommand> out;
     std::vector<Placement*> started;
-    bool raise = add_clears(machine, out);
+    bool raise_fence = append_clear_commands(machine, out);
     for (const auto& unexpected : machine.worker.unrecorded_tasks) {
         out.push_back({CommandKind::stop, unexpected.task, unexpected.attempt, 0});
     }
@@ -88,14 +90,14 @@
         if (out.size() >= kMaxCommands) break;
         if (!placement.committed || placement.sent == StartDelivery::in_direct_command) continue;
         if (must_stop(placement)) {
-            add_stop(placement, out);
+            append_stop_command(placement, out);
             continue;
         }
         const bool settled =
             placement.seen || placement.sent == StartDelivery::awaiting_confirmation;
         if (settled || is_unresponsive(machine)) continue;
         out.push_back({CommandKind::start, placement.ref(), placement.attempt, 0});
-        raise = raise || replaces_exited(machine, placement);
+        raise_fence = raise_fence || replaces_exited_attempt(machine, placement);
         placement.sent =
             direct ? StartDelivery::in_direct_command : StartDelivery::in_heartbeat_reply;
         placement.in_heartbeat_reply = placement.in_heartbeat_reply || !direct;
@@ -105,7 +107,7 @@
     // Clearing alone can wait for the next check-in.
     const auto is_clear = [](const TaskCommand& order) { return order.kind == CommandKind::clear; };
     if (direct && std::all_of(out.begin(), out.end(), is_clear)) return {};
-    if (raise) ++machine.worker.fence_counter;
+    if (raise_fence) ++machine.worker.fence_counter;
     if (direct) {
         for (auto* placement : started) placement->fenced_from = machine.worker.fence_counter + 1;
     }
@@ -114,7 +116,8 @@
 
 // ---- what was never sent is simply not sent ----
 
-void CommandDispatcher::drop(Machine& machine, bool (*condition)(const Placement&)) {
+void CommandDispatcher::remove_placements_if(Machine& machine,
+                                             bool (*condition)(const Placement&)) {
     std::vector<PlacementKey> unsent;
     for (const auto& [key, placement] : machine.tasks) {
         if (condition(placement)) unsent.push_back(key);
@@ -122,9 +125,13 @@
     for (const auto& key : unsent) state_.remove(machine, key);
 }
 
-void CommandDispatcher::drop_unsent_to_stop(Machine& machine) { drop(machine, unsent_to_stop); }
+void CommandDispatcher::remove_unsent_cancelled(Machine& machine) {
+    remove_placements_if(machine, unsent_to_stop);
+}
 
-void CommandDispatcher::drop_all_unsent(Machine& machine) { drop(machine, never_sent); }
+void CommandDispatcher::remove_unsent_placements(Machine& machine) {
+    remove_placements_if(machine, never_sent);
+}
 
 // ---- direct commands ----
 
@@ -132,7 +139,7 @@
     for (auto* machine : state_.take_machines_needing_commands()) {
         auto& worker = machine->worker;
         worker.needs_commands = false;
-        drop_unsent_to_stop(*machine);
+        remove_unsent_cancelled(*machine);
         if (!worker.heartbeat_received || machine->instance.deleting || is_unresponsive(*machine))
             continue;
         if (worker.command_in_flight) continue;  // its answer requests commands again
@@ -148,7 +155,7 @@
 }
 
 void CommandDispatcher::send(Machine& machine) {
-    const auto out = commands(machine, Channel::direct_command);
+    const auto out = commands(machine, ExchangeKind::direct_command);
     if (out.empty()) return;
     machine.worker.command_in_flight = true;
     ++in_flight_;
@@ -156,11 +163,13 @@
     client_.send(machine, token, out,
                  [this, host = machine.host, term = election_.term()](const CommandResult& result) {
                      --in_flight_;
-                     if (election_.is_leader() && election_.term() == term) answered(host, result);
+                     if (election_.is_leader() && election_.term() == term)
+                         handle_command_result(host, result);
                  });
 }
 
-void CommandDispatcher::answered(const MachineName& host, const CommandResult& result) {
+void CommandDispatcher::handle_command_result(const MachineName& host,
+                                              const CommandResult& result) {
     auto* machine = state_.find_machine(host);
     if (!machine) return;
     machine->worker.command_in_flight = false;
@@ -174,7 +183,7 @@
     }
     state_.request_commands(*machine);
     if (result.heartbeat) {
-        heartbeat_processor_.apply(*machine, *result.heartbeat, Channel::direct_command);
+        heartbeat_processor_.apply(*machine, *result.heartbeat, ExchangeKind::direct_command);
         machine->worker.next_command_at = context_.now() + kSpacing;
         return;
     }
--- a/src/workers/command_dispatcher.hpp
+++ b/src/workers/command_dispatcher.hpp
@@ -22,26 +22,28 @@
 
 class CommandDispatcher {
   public:
-    CommandDispatcher(sansio::Context& port, coordination::Election& election,
+    CommandDispatcher(sansio::Context& context, coordination::Election& election,
                       state::ClusterState& cluster_state, const config::Config& config,
                       HeartbeatProcessor& heartbeats);
 
     // Sends to machines for which commands have been requested.
     void tick();
     // What the worker is to do now; what is started counts as sent.
-    std::vector<wire::TaskCommand> commands(state::Machine& machine, Channel channel);
+    std::vector<wire::TaskCommand> commands(state::Machine& machine, ExchangeKind exchange);
     // Work that an unresponsive machine certainly has not got goes elsewhere.
-    void drop_all_unsent(state::Machine& machine);
+    void remove_unsent_placements(state::Machine& machine);
 
   private:
-    bool add_clears(const state::Machine& machine, std::vector<wire::TaskCommand>& commands) const;
-    static void add_stop(const state::Placement& placement,
-                         std::vector<wire::TaskCommand>& commands);
-    static bool replaces_exited(const state::Machine& machine, const state::Placement& placement);
-    void drop_unsent_to_stop(state::Machine& machine);
-    void drop(state::Machine& machine, bool (*condition)(const state::Placement&));
+    bool append_clear_commands(const state::Machine& machine,
+                               std::vector<wire::TaskCommand>& commands) const;
+    static void append_stop_command(const state::Placement& placement,
+                                    std::vector<wire::TaskCommand>& commands);
+    static bool replaces_exited_attempt(const state::Machine& machine,
+                                        const state::Placement& placement);
+    void remove_unsent_cancelled(state::Machine& machine);
+    void remove_placements_if(state::Machine& machine, bool (*condition)(const state::Placement&));
     void send(state::Machine& machine);
-    void answered(const MachineName& host, const CommandResult& result);
+    void handle_command_result(const MachineName& host, const CommandResult& result);
 
     sansio::Context& context_;
     coordination::Election& election_;
--- a/src/workers/failure_attribution.hpp
+++ b/src/workers/failure_attribution.hpp
@@ -18,8 +18,8 @@
 
 class FailureAttribution {
   public:
-    FailureAttribution(sansio::Context& port, state::ClusterState& cluster_state)
-        : context_(port), state_(cluster_state) {}
+    FailureAttribution(sansio::Context& context, state::ClusterState& cluster_state)
+        : context_(context), state_(cluster_state) {}
 
     void succeeded(state::Job& job, state::Machine& machine);
     void failed(state::Job& job, state::Machine& machine);
--- a/src/workers/heartbeat_processor.cpp
+++ b/src/workers/heartbeat_processor.cpp
@@ -27,7 +27,7 @@
 // After a worker that refused a task as it had no room.
 constexpr Millis kRefusedPause{2000};
 
-bool lists(const WorkerHeartbeat& heartbeat, const Placement& placement) {
+bool lists_placement(const WorkerHeartbeat& heartbeat, const Placement& placement) {
     return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const TaskStatus& task) {
         return task.attempt == placement.attempt && task.task.index == placement.index &&
                task.task.job == placement.job->spec.id;
@@ -40,21 +40,21 @@
 }
 }  // namespace
 
-HeartbeatProcessor::HeartbeatProcessor(sansio::Context& port, coordination::Election& election,
+HeartbeatProcessor::HeartbeatProcessor(sansio::Context& context, coordination::Election& election,
                                        state::ClusterState& cluster_state,
-                                       std::function<void(const Finished&)> finished)
-    : context_(port),
+                                       std::function<void(const CompletedTask&)> on_task_completed)
+    : context_(context),
       election_(election),
       state_(cluster_state),
-      failures_(port, cluster_state),
-      finished_(std::move(finished)) {}
+      failure_attribution_(context, cluster_state),
+      on_task_completed_(std::move(on_task_completed)) {}
 
-bool HeartbeatProcessor::of_this_term(const Placement& placement) const {
+bool HeartbeatProcessor::was_placed_in_this_term(const Placement& placement) const {
     return term_of(placement.attempt) == election_.term();
 }
 
 bool HeartbeatProcessor::apply(Machine& machine, const WorkerHeartbeat& heartbeat,
-                               Channel channel) {
+                               ExchangeKind exchange) {
     if (heartbeat.token > make_token(election_.term(), machine.worker.fence_counter)) {
         election_.depose(term_of(heartbeat.token));
         return false;
@@ -70,8 +70,8 @@
     update_lease(machine, heartbeat);
     update_worker(machine, heartbeat);
     if (heartbeat.eviction_s) apply_preemption_notice(machine, *heartbeat.eviction_s);
-    apply_listed(machine, heartbeat);
-    reconcile(machine, heartbeat, channel);
+    apply_listed_tasks(machine, heartbeat);
+    reconcile(machine, heartbeat, exchange);
     return true;
 }
 
@@ -111,7 +111,7 @@
 // ---- what the report lists ----
 
 // It is true whatever the token: an attempt that has exited stays exited.
-void HeartbeatProcessor::apply_listed(Machine& machine, const WorkerHeartbeat& heartbeat) {
+void HeartbeatProcessor::apply_listed_tasks(Machine& machine, const WorkerHeartbeat& heartbeat) {
     const auto known_exited = std::move(machine.worker.exited);
     machine.worker.exited.clear();
     machine.worker.unrecorded_tasks.clear();
@@ -124,13 +124,13 @@
         if (task.phase == TaskPhase::exited) {
             apply_exited(machine, task, placement, known_exited);
         } else {
-            apply_unexited(machine, heartbeat, task, placement);
+            apply_present_task(machine, heartbeat, task, placement);
         }
     }
 }
 
-void HeartbeatProcessor::apply_unexited(Machine& machine, const WorkerHeartbeat& heartbeat,
-                                        const TaskStatus& task, Placement* placement) {
+void HeartbeatProcessor::apply_present_task(Machine& machine, const WorkerHeartbeat& heartbeat,
+                                            const TaskStatus& task, Placement* placement) {
     if (!placement) {
         machine.worker.unrecorded_tasks.push_back({task.task, task.attempt});
         state_.request_commands(machine);
@@ -182,20 +182,21 @@
     switch (task.reason) {
         case ExitReason::done:
             if (placement.running_since != Instant{}) {
-                finished_({&job, &machine, to_seconds(context_.now() - placement.running_since)});
+                on_task_completed_(
+                    {&job, &machine, to_seconds(context_.now() - placement.running_since)});
             }
-            failures_.succeeded(job, machine);
+            failure_attribution_.succeeded(job, machine);
             state_.mark_done(job, index);
             break;
         case ExitReason::error:
-            failures_.failed(job, machine);
+            failure_attribution_.failed(job, machine);
             break;
         case ExitReason::full:
             machine.worker.refused_until = context_.now() + kRefusedPause;
             break;
         case ExitReason::busy:
         case ExitReason::unknown:
-            failures_.pause(job);
+            failure_attribution_.pause(job);
             break;
         default:
             if (placement.preempted) state_.mark_preemption_protected(job, index);
@@ -208,17 +209,18 @@
 // It is proof only if no command of an older token, no direct command under way and no check-in
 // answer still to be delivered can yet start the task.
 void HeartbeatProcessor::reconcile(Machine& machine, const WorkerHeartbeat& heartbeat,
-                                   Channel channel) {
+                                   ExchangeKind exchange) {
     bool answer_lost = false;
     std::vector<PlacementKey> gone;
     for (auto& [key, placement] : machine.tasks) {
         if (!placement.committed) continue;
-        const auto verdict = judge(machine, placement, heartbeat, channel);
-        if (verdict == Verdict::gone) gone.push_back(key);
-        if (verdict != Verdict::start_lost) continue;
+        const auto finding = assess(machine, placement, heartbeat, exchange);
+        if (finding == Finding::gone) gone.push_back(key);
+        if (finding != Finding::start_lost) continue;
         placement.sent = StartDelivery::not_sent;  // it may be sent again
         // Only an answer that did not arrive loses a start: the machine is to show the next.
-        if (channel == Channel::heartbeat && !machine.worker.command_in_flight) answer_lost = true;
+        if (exchange == ExchangeKind::heartbeat && !machine.worker.command_in_flight)
+            answer_lost = true;
         state_.request_commands(machine);
     }
     if (answer_lost) ++machine.worker.fence_counter;
@@ -227,38 +229,40 @@
 
 // A later session has forgotten the tasks of earlier ones, and takes no command of theirs. What an
 // earlier leader may have sent to this session counts until it is fenced off.
-bool HeartbeatProcessor::forgotten_with_session(const Placement& placement,
-                                                const WorkerHeartbeat& heartbeat) const {
+bool HeartbeatProcessor::is_lost_with_agent_epoch(const Placement& placement,
+                                                  const WorkerHeartbeat& heartbeat) const {
     const bool shows_term = term_of(heartbeat.token) == election_.term();
     return placement.agent_epoch != 0 && heartbeat.order.agent_epoch > placement.agent_epoch &&
-           (of_this_term(placement) || shows_term) && !lists_attempt(heartbeat, placement.attempt);
+           (was_placed_in_this_term(placement) || shows_term) &&
+           !lists_attempt(heartbeat, placement.attempt);
 }
 
-HeartbeatProcessor::Verdict HeartbeatProcessor::judge(const Machine& machine, Placement& placement,
-                                                      const WorkerHeartbeat& heartbeat,
-                                                      Channel channel) const {
-    if (forgotten_with_session(placement, heartbeat)) return Verdict::gone;
-    if (channel == Channel::heartbeat) placement.in_heartbeat_reply = false;
+HeartbeatProcessor::Finding HeartbeatProcessor::assess(const Machine& machine, Placement& placement,
+                                                       const WorkerHeartbeat& heartbeat,
+                                                       ExchangeKind exchange) const {
+    if (is_lost_with_agent_epoch(placement, heartbeat)) return Finding::gone;
+    if (exchange == ExchangeKind::heartbeat) placement.in_heartbeat_reply = false;
     const auto sent = placement.sent;
     if (sent == StartDelivery::not_sent || sent == StartDelivery::in_direct_command)
-        return Verdict::unknown;
+        return Finding::unknown;
     // A check-in's answer is read before the next check-in is made, or never: whatever token that
     // one shows, a start it lacks was lost.
     const bool lost_start = !placement.seen && sent == StartDelivery::in_heartbeat_reply &&
-                            channel == Channel::heartbeat;
+                            exchange == ExchangeKind::heartbeat;
     const bool shows_token =
         heartbeat.token == make_token(election_.term(), machine.worker.fence_counter);
-    if (!shows_token && !lost_start) return Verdict::unknown;
-    if (lists(heartbeat, placement)) {
+    if (!shows_token && !lost_start) return Finding::unknown;
+    if (lists_placement(heartbeat, placement)) {
         placement.sent = StartDelivery::awaiting_confirmation;
-        return Verdict::unknown;
+        return Finding::unknown;
     }
-    if (sent == StartDelivery::in_heartbeat_reply && channel == Channel::direct_command)
-        return Verdict::unknown;
+    if (sent == StartDelivery::in_heartbeat_reply && exchange == ExchangeKind::direct_command)
+        return Finding::unknown;
     // What an earlier leader has placed is placed anew rather than started: it may have given the
     // room and the quota to others before its end, and had no time to say so on record.
-    const bool not_to_start = placement.seen || must_stop(placement) || !of_this_term(placement);
-    return shows_token && not_to_start ? Verdict::gone : Verdict::start_lost;
+    const bool not_to_start =
+        placement.seen || must_stop(placement) || !was_placed_in_this_term(placement);
+    return shows_token && not_to_start ? Finding::gone : Finding::start_lost;
 }
 
 }  // namespace dunebridge::workers
--- a/src/workers/heartbeat_processor.hpp
+++ b/src/workers/heartbeat_processor.hpp
@@ -24,7 +24,7 @@
 namespace dunebridge::workers {
 
 // A task that is done, for what is learnt from run times.
-struct Finished {
+struct CompletedTask {
     const state::Job* job = nullptr;
     const state::Machine* machine = nullptr;
     double ran_s = 0;
@@ -32,40 +32,41 @@
 
 class HeartbeatProcessor {
   public:
-    HeartbeatProcessor(sansio::Context& port, coordination::Election& election,
+    HeartbeatProcessor(sansio::Context& context, coordination::Election& election,
                        state::ClusterState& cluster_state,
-                       std::function<void(const Finished&)> finished);
+                       std::function<void(const CompletedTask&)> on_task_completed);
 
     // Returns false if the report shows that this leader has been superseded. An older report than
     // the last changes nothing.
-    bool apply(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat, Channel channel);
+    bool apply(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+               ExchangeKind exchange);
 
   private:
     // What follows from a report for a placement.
-    enum class Verdict : std::uint8_t { unknown, gone, start_lost };
+    enum class Finding : std::uint8_t { unknown, gone, start_lost };
 
     void update_lease(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
     void update_worker(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
     void apply_preemption_notice(state::Machine& machine, double eviction_s);
-    void apply_listed(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
-    void apply_unexited(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
-                        const wire::TaskStatus& task, state::Placement* placement);
+    void apply_listed_tasks(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+    void apply_present_task(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
+                            const wire::TaskStatus& task, state::Placement* placement);
     void apply_exited(state::Machine& machine, const wire::TaskStatus& task,
                       state::Placement* placement, const std::vector<state::ExitedTask>& known);
     void reconcile(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
-                   Channel channel);
-    Verdict judge(const state::Machine& machine, state::Placement& placement,
-                  const wire::WorkerHeartbeat& heartbeat, Channel channel) const;
-    bool forgotten_with_session(const state::Placement& placement,
-                                const wire::WorkerHeartbeat& heartbeat) const;
+                   ExchangeKind exchange);
+    Finding assess(const state::Machine& machine, state::Placement& placement,
+                   const wire::WorkerHeartbeat& heartbeat, ExchangeKind exchange) const;
+    bool is_lost_with_agent_epoch(const state::Placement& placement,
+                                  const wire::WorkerHeartbeat& heartbeat) const;
     void exited(state::Machine& machine, state::Placement& placement, const wire::TaskStatus& task);
-    bool of_this_term(const state::Placement& placement) const;
+    bool was_placed_in_this_term(const state::Placement& placement) const;
 
     sansio::Context& context_;
     coordination::Election& election_;
     state::ClusterState& state_;
-    FailureAttribution failures_;
-    std::function<void(const Finished&)> finished_;
+    FailureAttribution failure_attribution_;
+    std::function<void(const CompletedTask&)> on_task_completed_;
 };
 
 }  // namespace dunebridge::workers
--- a/src/workers/worker_client.hpp
+++ b/src/workers/worker_client.hpp
@@ -20,7 +20,7 @@
 
 class WorkerClient {
   public:
-    explicit WorkerClient(sansio::Context& port) : context_(port) {}
+    explicit WorkerClient(sansio::Context& context) : context_(context) {}
 
     void send(const state::Machine& machine, FencingToken token,
               const std::vector<wire::TaskCommand>& commands,
--- a/src/workers/worker_conditions.hpp
+++ b/src/workers/worker_conditions.hpp
@@ -8,7 +8,7 @@
 namespace dunebridge::workers {
 
 // How a report or orders travel.
-enum class Channel : std::uint8_t {
+enum class ExchangeKind : std::uint8_t {
     heartbeat,      // a report that the worker sends, and the answer to it
     direct_command  // a command that the leader sends, and the answer to it
 };
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -18,7 +18,7 @@
 // Clocks of workers may run slower than this one's, by so much.
 constexpr double kDrift = 1.002;
 constexpr Millis kLeaseMargin{500};
-constexpr Millis kSweepEvery{250};
+constexpr Millis kCheckEvery{250};
 // A bound on memory only, several times the largest fleet: after an answer of the cloud was lost,
 // or while the list is late, all machines may be unknown at once.
 constexpr std::size_t kMaxUnknownWorkers = 20000;
@@ -26,20 +26,20 @@
 constexpr int kRetryAfter_s = 1;
 }  // namespace
 
-WorkerManager::WorkerManager(sansio::Context& port, coordination::Election& election,
+WorkerManager::WorkerManager(sansio::Context& context, coordination::Election& election,
                              state::ClusterState& cluster_state,
                              const state::WorkerLiveness& liveness,
                              const state::ReleasedMachines& released_machines,
                              const config::Config& config,
-                             std::function<void(const Finished&)> finished)
-    : context_(port),
+                             std::function<void(const CompletedTask&)> on_task_completed)
+    : context_(context),
       election_(election),
       state_(cluster_state),
       liveness_(liveness),
       released_machines_(released_machines),
       config_(config),
-      heartbeat_processor_(port, election, cluster_state, std::move(finished)),
-      commands_(port, election, cluster_state, config, heartbeat_processor_) {}
+      heartbeat_processor_(context, election, cluster_state, std::move(on_task_completed)),
+      command_dispatcher_(context, election, cluster_state, config, heartbeat_processor_) {}
 
 void WorkerManager::reset() { unknown_workers_.clear(); }
 
@@ -49,37 +49,38 @@
 
 // ---- check-ins ----
 
-void WorkerManager::refuse(RequestId id, const char* why) {
+void WorkerManager::answer_unavailable(RequestId id, const char* why) {
     context_.answer(id, 503, wire::encode_error(why), kRetryAfter_s);
 }
 
-void WorkerManager::checkin(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
-    auto* machine = machine_of(id, heartbeat);
+void WorkerManager::handle_heartbeat(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
+    auto* machine = find_or_add_machine(id, heartbeat);
     if (!machine) return;
     auto& worker = machine->worker;
     // A worker's check-ins come in order, one at a time: this is a late copy, or one that it has
     // given up. Nobody waits for the answer, and it must not count as one.
     if (worker.heartbeat_received && heartbeat.order <= worker.last_heartbeat_request) {
-        refuse(id, "overtaken");
+        answer_unavailable(id, "overtaken");
         return;
     }
     worker.last_heartbeat_request = heartbeat.order;
-    if (!heartbeat_processor_.apply(*machine, heartbeat, Channel::heartbeat)) {
-        refuse(id, "superseded");
+    if (!heartbeat_processor_.apply(*machine, heartbeat, ExchangeKind::heartbeat)) {
+        answer_unavailable(id, "superseded");
         return;
     }
     count_unacknowledged(*machine);
     worker.last_reply_at = context_.now();
     // The worker has given up on a report that newer ones overtook: it will not read the answer.
     std::vector<wire::TaskCommand> commands;
-    if (worker.last == heartbeat.order) commands = commands_.commands(*machine, Channel::heartbeat);
+    if (worker.last == heartbeat.order)
+        commands = command_dispatcher_.commands(*machine, ExchangeKind::heartbeat);
     context_.answer(id, 200, wire::encode_heartbeat_reply(token(*machine), commands));
 }
 
 // The machine that reports; null if the request is answered already.
-Machine* WorkerManager::machine_of(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
+Machine* WorkerManager::find_or_add_machine(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
     if (released_machines_.contains(heartbeat.host)) {
-        refuse(id, "returned");
+        answer_unavailable(id, "returned");
         return nullptr;
     }
     if (auto* known = state_.find_machine(heartbeat.host)) return known;
@@ -108,7 +109,7 @@
     }
     if (unknown_workers_.size() >= kMaxUnknownWorkers &&
         !unknown_workers_.contains(heartbeat.host)) {
-        refuse(id, "too many unknown workers");
+        answer_unavailable(id, "too many unknown workers");
         return true;
     }
     unknown_workers_.try_emplace(heartbeat.host, context_.now());
@@ -132,22 +133,22 @@
     for (const auto& key : gone) state_.remove(machine, key);
 }
 
-void WorkerManager::sweep() {
+void WorkerManager::check_machines() {
     std::erase_if(unknown_workers_, [&](const auto& worker) {
         return context_.now() - worker.second > kForgetUnknownWorkers;
     });
     for (auto& [host, machine] : state_.machines()) {
         expire_lease(machine);
-        if (state::is_unresponsive(machine)) commands_.drop_all_unsent(machine);
+        if (state::is_unresponsive(machine)) command_dispatcher_.remove_unsent_placements(machine);
     }
 }
 
 void WorkerManager::tick() {
-    if (context_.now() >= next_sweep_) {
-        next_sweep_ = context_.now() + kSweepEvery;
-        sweep();
+    if (context_.now() >= next_check_) {
+        next_check_ = context_.now() + kCheckEvery;
+        check_machines();
     }
-    commands_.tick();
+    command_dispatcher_.tick();
 }
 
 }  // namespace dunebridge::workers
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -25,24 +25,24 @@
 
 class WorkerManager {
   public:
-    WorkerManager(sansio::Context& port, coordination::Election& election,
+    WorkerManager(sansio::Context& context, coordination::Election& election,
                   state::ClusterState& cluster_state, const state::WorkerLiveness& liveness,
                   const state::ReleasedMachines& released_machines, const config::Config& config,
-                  std::function<void(const Finished&)> finished);
+                  std::function<void(const CompletedTask&)> on_task_completed);
 
     // Answers a worker's report with its orders.
-    void checkin(RequestId id, const wire::WorkerHeartbeat& heartbeat);
+    void handle_heartbeat(RequestId id, const wire::WorkerHeartbeat& heartbeat);
     void tick();
     // Another term begins.
     void reset();
 
   private:
-    state::Machine* machine_of(RequestId id, const wire::WorkerHeartbeat& heartbeat);
+    state::Machine* find_or_add_machine(RequestId id, const wire::WorkerHeartbeat& heartbeat);
     bool answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& heartbeat);
     void count_unacknowledged(state::Machine& machine) const;
-    void refuse(RequestId id, const char* why);
+    void answer_unavailable(RequestId id, const char* why);
     FencingToken token(const state::Machine& machine) const;
-    void sweep();
+    void check_machines();
     void expire_lease(state::Machine& machine);
 
     sansio::Context& context_;
@@ -52,9 +52,9 @@
     const state::ReleasedMachines& released_machines_;
     const config::Config& config_;
     HeartbeatProcessor heartbeat_processor_;
-    CommandDispatcher commands_;
+    CommandDispatcher command_dispatcher_;
     std::map<MachineName, Instant> unknown_workers_;  // and when they were first answered
-    Instant next_sweep_{};
+    Instant next_check_{};
 };
 
 }  // namespace dunebridge::workers
