--- a/tests/boot_monitor_test.cpp
+++ b/tests/boot_monitor_test.cpp
@@ -14,7 +14,7 @@
 struct BootMonitorTest : testing::Test {
     sim::ClusterStateFixture world;
     state::MachineTypeCatalog types;
-    BootMonitor monitor{world.port, world.cluster_state, types};
+    BootMonitor monitor{world.context, world.cluster_state, types};
     int machines = 0;
 
     state::Machine& rent(const std::string& zone = "a") {
@@ -35,7 +35,7 @@
         return count;
     }
     void pass(double seconds) {
-        world.pass(from_seconds(seconds));
+        world.advance(from_seconds(seconds));
         monitor.update();
     }
 };
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -31,8 +31,8 @@
 
 // Runs on while the worker reports every second and no answer reaches it.
 void report_unanswered(ControllerHarness& s, HarnessWorker& w, int seconds) {
-    for (int i = 0; i < seconds && !s.returned(w.report.host); ++i) {
-        s.checkin(w.next());
+    for (int i = 0; i < seconds && !s.scaled_in(w.heartbeat.host); ++i) {
+        s.send_heartbeat(w.next_heartbeat());
         s.run(Millis(1000));
     }
 }
@@ -42,24 +42,25 @@
 struct StartSentTwice {
     HarnessWorker worker;
     wire::TaskCommand start;
-    ControllerHarness::Direct direct;
+    ControllerHarness::DirectCommand direct;
 };
 StartSentTwice send_start_twice(ControllerHarness& s, const wire::JobSpec& first,
                                 const wire::JobSpec& second) {
     StartSentTwice sent;
     sent.worker = machine_for(s, first);
-    EXPECT_EQ(s.directs().size(), 1u);
+    EXPECT_EQ(s.commands_in_flight().size(), 1u);
     EXPECT_EQ(s.submit(second), 201);
     s.run(Millis(250));
-    const auto answer = s.checkin(sent.worker.next()).second;
+    const auto answer = s.send_heartbeat(sent.worker.next_heartbeat()).second;
     const auto* start = find(answer, CommandKind::start, {second.id, 0});
     EXPECT_NE(start, nullptr);
     if (start) sent.start = *start;
-    sent.worker.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
-    s.answer(s.directs()[0], 200, sent.worker.next());
+    sent.worker.heartbeat.tasks.push_back(
+        running_status(s.commands_in_flight().at(0).commands.commands.at(0)));
+    s.answer(s.commands_in_flight()[0], 200, sent.worker.next_heartbeat());
     s.run(Millis(60));
-    EXPECT_EQ(s.directs().size(), 1u);
-    sent.direct = s.directs().at(0);
+    EXPECT_EQ(s.commands_in_flight().size(), 1u);
+    sent.direct = s.commands_in_flight().at(0);
     EXPECT_NE(find(sent.direct.commands, CommandKind::start, {second.id, 0}), nullptr);
     return sent;
 }
@@ -72,19 +73,19 @@
     const TaskRef task{second.id, 0};
     auto [w, start, under_way] = send_start_twice(s, first, second);
     const auto attempt = start.attempt;
-    w.report.tasks.push_back(running({CommandKind::start, task, attempt}));
-    w.report.tasks.back().phase = TaskPhase::exited;
-    w.report.tasks.back().reason = ExitReason::stopped;
-    s.checkin(w.next());
+    w.heartbeat.tasks.push_back(running_status({CommandKind::start, task, attempt}));
+    w.heartbeat.tasks.back().phase = TaskPhase::exited;
+    w.heartbeat.tasks.back().reason = ExitReason::stopped;
+    s.send_heartbeat(w.next_heartbeat());
     s.run(Millis(400));  // the task is placed anew, and that is on record
-    ASSERT_EQ(s.directs().size(), 1u);
-    const auto reply = s.checkin(w.next()).second;
+    ASSERT_EQ(s.commands_in_flight().size(), 1u);
+    const auto reply = s.send_heartbeat(w.next_heartbeat()).second;
     EXPECT_EQ(find(reply, CommandKind::clear, task), nullptr);
-    w.report.token = reply.token;
-    s.answer(under_way, 200, w.next());
+    w.heartbeat.token = reply.token;
+    s.answer(under_way, 200, w.next_heartbeat());
     s.run(Millis(100));
-    ASSERT_EQ(s.directs().size(), 1u);
-    EXPECT_NE(find(s.directs()[0].commands, CommandKind::clear, task), nullptr);
+    ASSERT_EQ(s.commands_in_flight().size(), 1u);
+    EXPECT_NE(find(s.commands_in_flight()[0].commands, CommandKind::clear, task), nullptr);
 }
 
 // A direct command that was carried out may come once more, much later. Whatever clears its attempt
@@ -92,16 +93,16 @@
 TEST(ControllerTest, ClearingRefusesRepeatsOfTheCommandThatStarted) {
     ControllerHarness s(1);
     auto w = machine_for(s, job(1));
-    ASSERT_EQ(s.directs().size(), 1u);
-    const auto direct = s.directs()[0];
-    w.report.tasks.push_back(running(direct.commands.commands.at(0)));
-    s.answer(direct, 200, w.next());
+    ASSERT_EQ(s.commands_in_flight().size(), 1u);
+    const auto direct = s.commands_in_flight()[0];
+    w.heartbeat.tasks.push_back(running_status(direct.commands.commands.at(0)));
+    s.answer(direct, 200, w.next_heartbeat());
     s.run(Millis(60));
-    w.report.tasks.back().phase = TaskPhase::exited;
-    w.report.tasks.back().reason = ExitReason::done;
-    s.checkin(w.next());
+    w.heartbeat.tasks.back().phase = TaskPhase::exited;
+    w.heartbeat.tasks.back().reason = ExitReason::done;
+    s.send_heartbeat(w.next_heartbeat());
     s.run(Millis(3000));  // the end is on record
-    const auto reply = s.checkin(w.next()).second;
+    const auto reply = s.send_heartbeat(w.next_heartbeat()).second;
     ASSERT_NE(find(reply, CommandKind::clear, {job(1).id, 0}), nullptr);
     EXPECT_GT(reply.token, direct.commands.token);
 }
@@ -126,12 +127,12 @@
 TEST(ControllerTest, NothingIsAnsweredAsTheLeaderAfterAStandStill) {
     ControllerHarness s(1);
     auto w = machine_for(s, job(1));
-    ASSERT_EQ(s.checkin(w.next()).first, 200);
+    ASSERT_EQ(s.send_heartbeat(w.next_heartbeat()).first, 200);
     s.stall_process(Millis(9000));
-    EXPECT_EQ(s.checkin(w.next()).first, 503);
+    EXPECT_EQ(s.send_heartbeat(w.next_heartbeat()).first, 503);
     s.run(Millis(3000));
     EXPECT_TRUE(s.leads());
-    EXPECT_EQ(s.checkin(w.next()).first, 200);
+    EXPECT_EQ(s.send_heartbeat(w.next_heartbeat()).first, 200);
 }
 
 // The start went with a check-in's answer; a direct command that repeats it cannot be sent. That
@@ -142,13 +143,13 @@
     const auto second = job(2);
     auto [w, start, direct] = send_start_twice(s, first, second);
     s.answer(direct, sansio::HttpResult::kNotSent, {});
-    ASSERT_EQ(s.ask("POST", "/v1/jobs/" + second.id.get() + "/abort", {}).status, 200);
+    ASSERT_EQ(s.request("POST", "/v1/jobs/" + second.id.get() + "/abort", {}).status, 200);
     s.run(Millis(3000));
-    EXPECT_EQ(s.recorded_on(second.id), Hosts{w.report.host.get()});
+    EXPECT_EQ(s.recorded_hosts(second.id), Hosts{w.heartbeat.host.get()});
     // The next check-in shows that the answer was lost.
-    s.checkin(w.next());
+    s.send_heartbeat(w.next_heartbeat());
     s.run(Millis(3000));
-    EXPECT_EQ(s.recorded_on(second.id), Hosts{});
+    EXPECT_EQ(s.recorded_hosts(second.id), Hosts{});
 }
 
 // A cancellation that the leader does not know of: its next placement is refused by the state
@@ -161,23 +162,25 @@
     first.cores = second.cores = 16;  // the whole machine
     ASSERT_EQ(s.submit(first), 201);
     auto w = ready_machine(s, 0);
-    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
-    s.answer(s.directs()[0], 200, w.next());
+    w.heartbeat.tasks.push_back(
+        running_status(s.commands_in_flight().at(0).commands.commands.at(0)));
+    s.answer(s.commands_in_flight()[0], 200, w.next_heartbeat());
     ASSERT_EQ(s.submit(second), 201);
     s.run(Millis(500));
     s.state().set_watches_stalled(true);
     // By another node, of which this one learns nothing.
     const auto end = wire::Writer().map(1).text("phase").text("withdrawn").take();
     s.write(kv::terminal_key(second.id), end);
-    w.report.tasks[0].phase = TaskPhase::exited;
-    w.report.tasks[0].reason = ExitReason::done;
-    s.checkin(w.next());
+    w.heartbeat.tasks[0].phase = TaskPhase::exited;
+    w.heartbeat.tasks[0].reason = ExitReason::done;
+    s.send_heartbeat(w.next_heartbeat());
     s.run(Millis(500));
-    for (const auto& d : s.directs()) {
+    for (const auto& d : s.commands_in_flight()) {
         EXPECT_EQ(find(d.commands, CommandKind::start, {second.id, 0}), nullptr);
     }
-    EXPECT_EQ(find(s.checkin(w.next()).second, CommandKind::start, {second.id, 0}), nullptr);
-    EXPECT_EQ(s.recorded_on(second.id), Hosts{});
+    EXPECT_EQ(find(s.send_heartbeat(w.next_heartbeat()).second, CommandKind::start, {second.id, 0}),
+              nullptr);
+    EXPECT_EQ(s.recorded_hosts(second.id), Hosts{});
 }
 
 // A silent machine that was given up, and not yet deleted, in an earlier term of the same process
@@ -185,22 +188,22 @@
 TEST(ControllerTest, ANewTermJudgesMachinesAnew) {
     ControllerHarness s(1);
     auto w = machine_for(s, job(1));
-    const auto host = w.report.host;
+    const auto host = w.heartbeat.host;
     s.cloud().set_outage(true);
     s.run(Millis(40000));
     ASSERT_TRUE(s.logged("event=scale_in host=" + host.get()));
-    ASSERT_FALSE(s.returned(host));
+    ASSERT_FALSE(s.scaled_in(host));
     s.stall_process(Millis(9000));
     s.run(Millis(3000));
     ASSERT_TRUE(s.leads());
-    w.report.order.agent_epoch = 2;
-    show_token(s, w);
+    w.heartbeat.order.agent_epoch = 2;
+    acknowledge_token(s, w);
     s.cloud().set_outage(false);
     for (int i = 0; i < 10; ++i) {
-        EXPECT_EQ(s.checkin(w.next()).first, 200);
+        EXPECT_EQ(s.send_heartbeat(w.next_heartbeat()).first, 200);
         s.run(Millis(1000));
     }
-    EXPECT_FALSE(s.returned(host));
+    EXPECT_FALSE(s.scaled_in(host));
 }
 
 // Another node leads, and this one does not know it: nothing that it decides is recorded.
@@ -213,12 +216,13 @@
     wire::Writer lead;
     lead.map(3).text("node").text("node-9").text("incarnation").text("x").text("term").count(9);
     s.write("lead", lead.take());
-    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
-    w.report.tasks.back().phase = TaskPhase::exited;
-    w.report.tasks.back().reason = ExitReason::done;
-    s.checkin(w.next());
+    w.heartbeat.tasks.push_back(
+        running_status(s.commands_in_flight().at(0).commands.commands.at(0)));
+    w.heartbeat.tasks.back().phase = TaskPhase::exited;
+    w.heartbeat.tasks.back().reason = ExitReason::done;
+    s.send_heartbeat(w.next_heartbeat());
     s.run(Millis(3000));
-    EXPECT_EQ(s.recorded_on(first.id), Hosts{w.report.host.get()});
+    EXPECT_EQ(s.recorded_hosts(first.id), Hosts{w.heartbeat.host.get()});
     EXPECT_EQ(s.state().value(kv::terminal_key(first.id)), "");
 }
 
@@ -228,17 +232,17 @@
     ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
-    ASSERT_EQ(s.directs().size(), 1u);
+    ASSERT_EQ(s.commands_in_flight().size(), 1u);
     s.run(Millis(1600));  // given up: the leader raises the token
-    ASSERT_EQ(s.directs().size(), 0u);
-    ASSERT_EQ(s.ask("POST", "/v1/jobs/" + j.id.get() + "/abort", {}).status, 200);
+    ASSERT_EQ(s.commands_in_flight().size(), 0u);
+    ASSERT_EQ(s.request("POST", "/v1/jobs/" + j.id.get() + "/abort", {}).status, 200);
     s.run(Millis(200));
-    const auto next = s.checkin(w.next()).second.token;
-    EXPECT_GT(next, w.report.token);
+    const auto next = s.send_heartbeat(w.next_heartbeat()).second.token;
+    EXPECT_GT(next, w.heartbeat.token);
     s.run(Millis(2500));
-    EXPECT_EQ(s.recorded_on(j.id), Hosts{w.report.host.get()});
-    w.report.token = next;
-    s.checkin(w.next());
+    EXPECT_EQ(s.recorded_hosts(j.id), Hosts{w.heartbeat.host.get()});
+    w.heartbeat.token = next;
+    s.send_heartbeat(w.next_heartbeat());
     s.run(Millis(2500));
     EXPECT_TRUE(s.state().values("prog/").empty());
 }
@@ -249,19 +253,19 @@
     const auto early = job(1);
     const auto late = job(2);
     auto w = machine_for(s, early);
-    ASSERT_EQ(s.directs().size(), 1u);
-    const auto host = w.report.host;
+    ASSERT_EQ(s.commands_in_flight().size(), 1u);
+    const auto host = w.heartbeat.host;
     report_unanswered(s, w, 6);
     ASSERT_EQ(s.submit(late), 201);
     report_unanswered(s, w, 4);
-    EXPECT_EQ(s.recorded_on(late.id), Hosts{});
+    EXPECT_EQ(s.recorded_hosts(late.id), Hosts{});
     // What was sent may have arrived: it moves by proof only.
-    EXPECT_EQ(s.recorded_on(early.id), Hosts{host.get()});
+    EXPECT_EQ(s.recorded_hosts(early.id), Hosts{host.get()});
     report_unanswered(s, w, 20);
-    EXPECT_TRUE(s.returned(host));
+    EXPECT_TRUE(s.scaled_in(host));
     auto other = ready_machine(s, 1);
-    EXPECT_EQ(s.recorded_on(early.id), Hosts{other.report.host.get()});
-    EXPECT_EQ(s.recorded_on(late.id), Hosts{other.report.host.get()});
+    EXPECT_EQ(s.recorded_hosts(early.id), Hosts{other.heartbeat.host.get()});
+    EXPECT_EQ(s.recorded_hosts(late.id), Hosts{other.heartbeat.host.get()});
 }
 
 // A start whose answer was lost is proved lost by the next report; a machine that then
@@ -275,19 +279,20 @@
     ASSERT_EQ(s.submit(big), 201);
     auto w = s.machine(0);
     auto other = ready_machine(s, 1);
-    const auto a = s.directs().at(0).commands.commands.at(0);
-    other.report.tasks.push_back(running(a));
-    s.answer(s.directs()[0], 200, other.next());
-    show_token(s, w);
+    const auto a = s.commands_in_flight().at(0).commands.commands.at(0);
+    other.heartbeat.tasks.push_back(running_status(a));
+    s.answer(s.commands_in_flight()[0], 200, other.next_heartbeat());
+    acknowledge_token(s, w);
     // No connection to it can be made, and the answers to its reports are lost.
     for (int i = 0; i < 8; ++i) {
-        while (!s.directs().empty()) s.answer(s.directs()[0], sansio::HttpResult::kNotSent, {});
-        s.checkin(w.next());
+        while (!s.commands_in_flight().empty())
+            s.answer(s.commands_in_flight()[0], sansio::HttpResult::kNotSent, {});
+        s.send_heartbeat(w.next_heartbeat());
         s.run(Millis(1000));
     }
     s.run(Millis(2000));
-    EXPECT_EQ(s.recorded_on(big.id), Hosts{other.report.host.get()});
-    EXPECT_FALSE(s.returned(w.report.host));
+    EXPECT_EQ(s.recorded_hosts(big.id), Hosts{other.heartbeat.host.get()});
+    EXPECT_FALSE(s.scaled_in(w.heartbeat.host));
 }
 
 // Late copies of reports count neither for the lease, nor as a sign of life, nor as proof.
@@ -297,41 +302,41 @@
     const auto j = job(1);
     ASSERT_EQ(s.submit(j), 201);
     auto w = s.machine(0);
-    const auto oldest = wire::encode(w.report);
-    show_token(s, w);
-    const auto a = s.directs().at(0).commands.commands.at(0);
-    const auto without = w.next();
-    s.checkin(without);
-    w.report.tasks.push_back(running(a));
-    s.answer(s.directs()[0], 200, w.next());
-    const auto with = w.next();
-    ASSERT_EQ(s.checkin(with).first, 200);
+    const auto oldest = wire::encode(w.heartbeat);
+    acknowledge_token(s, w);
+    const auto a = s.commands_in_flight().at(0).commands.commands.at(0);
+    const auto without = w.next_heartbeat();
+    s.send_heartbeat(without);
+    w.heartbeat.tasks.push_back(running_status(a));
+    s.answer(s.commands_in_flight()[0], 200, w.next_heartbeat());
+    const auto with = w.next_heartbeat();
+    ASSERT_EQ(s.send_heartbeat(with).first, 200);
     // The machine is silent from now on; only copies come, also of reports without the task.
     for (int i = 0; i < 14; ++i) {
-        EXPECT_NE(s.checkin(i % 2 ? with : without).first, 200);
+        EXPECT_NE(s.send_heartbeat(i % 2 ? with : without).first, 200);
         s.run(Millis(1000));
-        ASSERT_EQ(s.recorded_on(j.id), Hosts{w.report.host.get()});
+        ASSERT_EQ(s.recorded_hosts(j.id), Hosts{w.heartbeat.host.get()});
     }
     EXPECT_FALSE(s.logged("event=lease_expired"));
     s.run(Millis(2500));
     EXPECT_TRUE(s.logged("event=lease_expired"));
     s.run(Millis(20000));
-    ASSERT_TRUE(s.returned(w.report.host));
+    ASSERT_TRUE(s.scaled_in(w.heartbeat.host));
 
     // Nor do they bring the machine back, now or under a later leader, which does not know it.
-    EXPECT_NE(s.checkin(with).first, 200);
+    EXPECT_NE(s.send_heartbeat(with).first, 200);
     s.run(Millis(9000));
     s.restart();
     s.run(Millis(5000));
     ASSERT_TRUE(s.leads());
     const auto machines = s.state().values("rent/");
     for (const auto& copy : {oldest, without, with}) {
-        s.checkin(copy);
+        s.send_heartbeat(copy);
         s.run(Millis(2500));
     }
-    EXPECT_EQ(s.recorded_on(j.id), Hosts{});
+    EXPECT_EQ(s.recorded_hosts(j.id), Hosts{});
     for (const auto& [key, value] : s.state().values("rent/")) {
-        EXPECT_EQ(value.find(w.report.host.get()), std::string::npos) << key;
+        EXPECT_EQ(value.find(w.heartbeat.host.get()), std::string::npos) << key;
     }
 }
 
@@ -339,21 +344,22 @@
 TEST(ControllerTest, ANewLeaderWaitsForIdleMachinesToReport) {
     ControllerHarness s(1);
     auto w = machine_for(s, job(1));
-    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
-    s.answer(s.directs()[0], 200, w.next());
+    w.heartbeat.tasks.push_back(
+        running_status(s.commands_in_flight().at(0).commands.commands.at(0)));
+    s.answer(s.commands_in_flight()[0], 200, w.next_heartbeat());
     for (int i = 0; i < 45; ++i) {
-        ASSERT_EQ(s.checkin(w.next()).first, 200);
+        ASSERT_EQ(s.send_heartbeat(w.next_heartbeat()).first, 200);
         s.run(Millis(1000));
     }
-    w.report.tasks[0].phase = TaskPhase::exited;
-    w.report.tasks[0].reason = ExitReason::done;
-    s.checkin(w.next());
+    w.heartbeat.tasks[0].phase = TaskPhase::exited;
+    w.heartbeat.tasks[0].reason = ExitReason::done;
+    s.send_heartbeat(w.next_heartbeat());
     s.run(Millis(3000));
     s.restart();
     s.run(Millis(7000));
     ASSERT_TRUE(s.leads());
-    EXPECT_FALSE(s.returned(w.report.host));
-    EXPECT_EQ(s.checkin(w.next()).first, 200);
+    EXPECT_FALSE(s.scaled_in(w.heartbeat.host));
+    EXPECT_EQ(s.send_heartbeat(w.next_heartbeat()).first, 200);
 }
 
 // A worker forgets its tasks with its session; a copy of an earlier session does not bring them
@@ -362,24 +368,24 @@
     ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
-    const auto a = s.directs().at(0).commands.commands.at(0);
-    w.report.tasks.push_back(running(a));
-    const auto earlier = w.next();
-    s.checkin(earlier);
+    const auto a = s.commands_in_flight().at(0).commands.commands.at(0);
+    w.heartbeat.tasks.push_back(running_status(a));
+    const auto earlier = w.next_heartbeat();
+    s.send_heartbeat(earlier);
     s.run(Millis(2000));  // the command is given up: the token rises, the worker does not see it
-    w.report.tasks.clear();
-    ++w.report.order.agent_epoch;
-    const auto orders = s.checkin(w.next()).second;
+    w.heartbeat.tasks.clear();
+    ++w.heartbeat.order.agent_epoch;
+    const auto orders = s.send_heartbeat(w.next_heartbeat()).second;
     s.run(Millis(400));
-    EXPECT_NE(s.checkin(earlier).first, 200);
-    w.report.token = orders.token;
-    const auto again = s.checkin(w.next()).second;
+    EXPECT_NE(s.send_heartbeat(earlier).first, 200);
+    w.heartbeat.token = orders.token;
+    const auto again = s.send_heartbeat(w.next_heartbeat()).second;
     const auto* start = find(again, CommandKind::start, a.task);
-    if (!start && !s.directs().empty())
-        start = find(s.directs()[0].commands, CommandKind::start, a.task);
+    if (!start && !s.commands_in_flight().empty())
+        start = find(s.commands_in_flight()[0].commands, CommandKind::start, a.task);
     ASSERT_NE(start, nullptr);
     EXPECT_NE(start->attempt, a.attempt);
-    EXPECT_FALSE(s.returned(w.report.host));
+    EXPECT_FALSE(s.scaled_in(w.heartbeat.host));
 }
 
 // Until the worker has shown the new leader's term, the one before could renew its lease.
@@ -387,17 +393,18 @@
     ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
-    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
-    s.answer(s.directs()[0], 200, w.next());
+    w.heartbeat.tasks.push_back(
+        running_status(s.commands_in_flight().at(0).commands.commands.at(0)));
+    s.answer(s.commands_in_flight()[0], 200, w.next_heartbeat());
     s.run(Millis(2000));
     s.restart();
     s.run(Millis(5000));
     ASSERT_TRUE(s.leads());
     // Its answer is lost, and nothing else is heard of it for more than a lease.
-    ASSERT_EQ(s.checkin(w.next()).first, 200);
+    ASSERT_EQ(s.send_heartbeat(w.next_heartbeat()).first, 200);
     s.run(Millis(17000));
     EXPECT_FALSE(s.logged("event=lease_expired"));
-    EXPECT_EQ(s.recorded_on(j.id), Hosts{w.report.host.get()});
+    EXPECT_EQ(s.recorded_hosts(j.id), Hosts{w.heartbeat.host.get()});
 }
 
 // Only direct commands get through, and they renew no lease. When the worker's ends, its new
@@ -408,22 +415,23 @@
     const auto first = job(1);
     const auto second = job(2);
     auto w = machine_for(s, first);
-    w.report.tasks.push_back(running(s.directs().at(0).commands.commands.at(0)));
-    s.answer(s.directs()[0], 200, w.next());
+    w.heartbeat.tasks.push_back(
+        running_status(s.commands_in_flight().at(0).commands.commands.at(0)));
+    s.answer(s.commands_in_flight()[0], 200, w.next_heartbeat());
     s.run(Millis(14700));
-    ASSERT_EQ(s.ask("POST", "/v1/jobs/" + first.id.get() + "/abort", {}).status, 200);
+    ASSERT_EQ(s.request("POST", "/v1/jobs/" + first.id.get() + "/abort", {}).status, 200);
     s.run(Millis(60));
-    ASSERT_EQ(s.directs().size(), 1u);
-    w.report.tasks.clear();
-    ++w.report.order.agent_epoch;
-    s.answer(s.directs()[0], 409, w.next());
+    ASSERT_EQ(s.commands_in_flight().size(), 1u);
+    w.heartbeat.tasks.clear();
+    ++w.heartbeat.order.agent_epoch;
+    s.answer(s.commands_in_flight()[0], 409, w.next_heartbeat());
     ASSERT_EQ(s.submit(second), 201);
     s.run(Millis(200));
-    ASSERT_EQ(s.directs().size(), 1u);
-    w.report.tasks.push_back(running(s.directs()[0].commands.commands.at(0)));
-    s.answer(s.directs()[0], 200, w.next());
+    ASSERT_EQ(s.commands_in_flight().size(), 1u);
+    w.heartbeat.tasks.push_back(running_status(s.commands_in_flight()[0].commands.commands.at(0)));
+    s.answer(s.commands_in_flight()[0], 200, w.next_heartbeat());
     s.run(Millis(4000));
-    EXPECT_EQ(s.recorded_on(second.id), Hosts{w.report.host.get()});
+    EXPECT_EQ(s.recorded_hosts(second.id), Hosts{w.heartbeat.host.get()});
 }
 
 }  // namespace
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -30,7 +30,7 @@
     EXPECT_EQ(s.submit(dependent_job(3, many)), 201);
     wire::Writer w;
     wire::encode_job(w, dependent_job(4, {JobId("not an id")}));
-    EXPECT_EQ(s.ask("POST", "/v1/jobs", w.take()).status, 400);
+    EXPECT_EQ(s.request("POST", "/v1/jobs", w.take()).status, 400);
     // What the state service does not confirm is neither taken nor refused.
     s.state().set_outage(true);
     EXPECT_EQ(s.submit(dependent_job(5, {JobId("req-999998")})), 503);
@@ -46,7 +46,7 @@
     s.run(Millis(3000));
     wire::Writer w;
     wire::encode_job(w, dependent_job(2, {job(1).id}));
-    const auto answer = s.ask("POST", "/v1/jobs", w.take());
+    const auto answer = s.request("POST", "/v1/jobs", w.take());
     EXPECT_EQ(answer.status, 503);
     EXPECT_GT(answer.retry_after_s, 0);
     EXPECT_EQ(s.state().value(kv::kFormatMark), "");
@@ -58,7 +58,7 @@
     s.run(Millis(3000));
     submit_chain(s);
     EXPECT_EQ(s.phase(job(3).id), "pending");
-    ASSERT_EQ(s.ask("POST", "/v1/jobs/" + job(1).id.get() + "/abort", {}).status, 200);
+    ASSERT_EQ(s.request("POST", "/v1/jobs/" + job(1).id.get() + "/abort", {}).status, 200);
     s.run(Millis(1000));
     EXPECT_NE(s.state().value(kv::terminal_key(job(2).id)), "");
     EXPECT_NE(s.state().value(kv::terminal_key(job(3).id)), "");
@@ -101,9 +101,9 @@
     other.cores = 2;
     ASSERT_EQ(s.submit(other), 201);
     auto w = ready_machine(s, 0);
-    play(s, {&w}, 3);
-    EXPECT_EQ(s.recorded_on(other.id), std::vector<std::string>{w.report.host.get()});
-    EXPECT_TRUE(s.recorded_on(waiting.id).empty());
+    run_workers(s, {&w}, 3);
+    EXPECT_EQ(s.recorded_hosts(other.id), std::vector<std::string>{w.heartbeat.host.get()});
+    EXPECT_TRUE(s.recorded_hosts(waiting.id).empty());
 }
 
 TEST(Dependencies, ACancellationAnsweredDoneLetsTheRestGoOn) {
@@ -114,14 +114,14 @@
     ASSERT_EQ(s.submit(first), 201);
     ASSERT_EQ(s.submit(second), 201);
     auto w = ready_machine(s, 0);
-    play(s, {&w}, 3);
-    EXPECT_TRUE(s.recorded_on(second.id).empty());
-    end_task(w, first.id);
-    play(s, {&w}, 2);
-    const auto answer = s.ask("POST", "/v1/jobs/" + first.id.get() + "/abort", {});
+    run_workers(s, {&w}, 3);
+    EXPECT_TRUE(s.recorded_hosts(second.id).empty());
+    finish_task(w, first.id);
+    run_workers(s, {&w}, 2);
+    const auto answer = s.request("POST", "/v1/jobs/" + first.id.get() + "/abort", {});
     EXPECT_EQ(wire::Document::parse(answer.body)->root()["phase"].text(), "done");
-    play(s, {&w}, 4);
-    EXPECT_EQ(s.recorded_on(second.id), std::vector<std::string>{w.report.host.get()});
+    run_workers(s, {&w}, 4);
+    EXPECT_EQ(s.recorded_hosts(second.id), std::vector<std::string>{w.heartbeat.host.get()});
 }
 
 }  // namespace
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -9,64 +9,64 @@
 namespace {
 
 struct FailureAttributionTest : testing::Test {
-    sim::ClusterStateFixture world;
-    FailureAttribution attribution{world.port, world.cluster_state};
+    sim::ClusterStateFixture fixture;
+    FailureAttribution attribution{fixture.context, fixture.cluster_state};
 
     // The job fails on so many machines, each of which is new.
     void fail_on_new_machines(state::Job& job, int count) {
-        for (int i = 0; i < count; ++i) attribution.failed(job, world.add_machine(++machines));
+        for (int i = 0; i < count; ++i) attribution.failed(job, fixture.add_machine(++machines));
     }
     int machines = 100;
 };
 
 TEST_F(FailureAttributionTest, AJobThatFailsOnSeveralMachinesIsAtFault) {
-    auto& job = world.add_job(1, 50);
+    auto& job = fixture.add_job(1, 50);
     fail_on_new_machines(job, 2);
     EXPECT_FALSE(job.failures.faulty);
     EXPECT_EQ(job.placeable_tasks(), 50u);
     fail_on_new_machines(job, 1);
     EXPECT_TRUE(job.failures.faulty);
     EXPECT_EQ(job.placeable_tasks(), 2u);
-    for (const auto& [host, machine] : world.cluster_state.machines()) {
+    for (const auto& [host, machine] : fixture.cluster_state.machines()) {
         EXPECT_FALSE(machine.cordoned);
         EXPECT_TRUE(machine.worker.failures.empty());
     }
 }
 
 TEST_F(FailureAttributionTest, AFaultyJobHasAFewTasksAtATime) {
-    auto& job = world.add_job(1, 50);
+    auto& job = fixture.add_job(1, 50);
     fail_on_new_machines(job, 3);
-    auto& machine = world.add_machine(1);
-    world.cluster_state.place(job, machine);
+    auto& machine = fixture.add_machine(1);
+    fixture.cluster_state.place(job, machine);
     EXPECT_EQ(job.placeable_tasks(), 1u);
-    world.cluster_state.place(job, machine);
+    fixture.cluster_state.place(job, machine);
     EXPECT_EQ(job.placeable_tasks(), 0u);
 }
 
 TEST_F(FailureAttributionTest, AJobThatSucceedsAgainRunsAtFullWidthAtOnce) {
-    auto& job = world.add_job(1, 50);
+    auto& job = fixture.add_job(1, 50);
     fail_on_new_machines(job, 4);
     ASSERT_TRUE(job.failures.faulty);
-    attribution.succeeded(job, world.add_machine(1));
+    attribution.succeeded(job, fixture.add_machine(1));
     EXPECT_FALSE(job.failures.faulty);
     EXPECT_EQ(job.placeable_tasks(), 50u);
-    EXPECT_LE(job.backoff_until, world.now);
+    EXPECT_LE(job.backoff_until, fixture.now);
 }
 
 TEST_F(FailureAttributionTest, AMachineOnWhichSeveralJobsFailIsAtFault) {
-    auto& machine = world.add_machine(1);
+    auto& machine = fixture.add_machine(1);
     for (int n = 1; n <= 3; ++n) {
         EXPECT_FALSE(machine.cordoned);
-        attribution.failed(world.add_job(n), machine);
+        attribution.failed(fixture.add_job(n), machine);
     }
     EXPECT_TRUE(machine.cordoned);
 }
 
 // One job alone shows a faulty machine, if the job succeeds on others.
 TEST_F(FailureAttributionTest, AJobThatSucceedsElsewhereWeighsMore) {
-    auto& job = world.add_job(1, 50);
-    auto& machine = world.add_machine(1);
-    world.cluster_state.mark_done(job, 0);
+    auto& job = fixture.add_job(1, 50);
+    auto& machine = fixture.add_machine(1);
+    fixture.cluster_state.mark_done(job, 0);
     attribution.failed(job, machine);
     EXPECT_FALSE(machine.cordoned);
     attribution.failed(job, machine);
@@ -76,27 +76,27 @@
 
 // Each alone would have drained the machines on which two faulty jobs happen to begin.
 TEST_F(FailureAttributionTest, TwoFaultyJobsDoNotCondemnHealthyMachines) {
-    auto& first = world.add_job(1, 20);
-    auto& second = world.add_job(2, 20);
+    auto& first = fixture.add_job(1, 20);
+    auto& second = fixture.add_job(2, 20);
     for (int n = 1; n <= 9; ++n) {
-        auto& machine = world.add_machine(n);
+        auto& machine = fixture.add_machine(n);
         attribution.failed(first, machine);
         attribution.failed(second, machine);
     }
     EXPECT_TRUE(first.failures.faulty);
     EXPECT_TRUE(second.failures.faulty);
-    for (const auto& [host, machine] : world.cluster_state.machines())
+    for (const auto& [host, machine] : fixture.cluster_state.machines())
         EXPECT_FALSE(machine.cordoned);
 }
 
 TEST_F(FailureAttributionTest, AFaultyMachineIsFoundWhileFaultyJobsAreAbout) {
-    auto& faulty_job = world.add_job(1, 20);
-    auto& machine = world.add_machine(1);
+    auto& faulty_job = fixture.add_job(1, 20);
+    auto& machine = fixture.add_machine(1);
     attribution.failed(faulty_job, machine);
     fail_on_new_machines(faulty_job, 3);
     ASSERT_TRUE(faulty_job.failures.faulty);
-    auto& healthy = world.add_job(2, 20);
-    world.cluster_state.mark_done(healthy, 0);
+    auto& healthy = fixture.add_job(2, 20);
+    fixture.cluster_state.mark_done(healthy, 0);
     attribution.failed(healthy, machine);
     attribution.failed(faulty_job, machine);  // says nothing about the machine any more
     EXPECT_FALSE(machine.cordoned);
@@ -106,21 +106,21 @@
 
 // Three machines that fail everything do not make a job that runs there look faulty.
 TEST_F(FailureAttributionTest, MachinesThatFailOtherJobsTooSayNothingAboutOne) {
-    auto& job = world.add_job(1, 20);
+    auto& job = fixture.add_job(1, 20);
     for (int n = 1; n <= 3; ++n) {
-        auto& machine = world.add_machine(n);
-        attribution.failed(world.add_job(10 + n), machine);
+        auto& machine = fixture.add_machine(n);
+        attribution.failed(fixture.add_job(10 + n), machine);
         attribution.failed(job, machine);
     }
     EXPECT_FALSE(job.failures.faulty);
 }
 
 TEST_F(FailureAttributionTest, AMachineIsClearedWhenTheEvidenceAgainstItIsAJobsFault) {
-    auto& machine = world.add_machine(1);
-    auto& job = world.add_job(1, 20);
+    auto& machine = fixture.add_machine(1);
+    auto& job = fixture.add_job(1, 20);
     attribution.failed(job, machine);
-    attribution.failed(world.add_job(2), machine);
-    attribution.failed(world.add_job(3), machine);
+    attribution.failed(fixture.add_job(2), machine);
+    attribution.failed(fixture.add_job(3), machine);
     ASSERT_TRUE(machine.cordoned);
     fail_on_new_machines(job, 3);
     ASSERT_TRUE(job.failures.faulty);
@@ -128,25 +128,25 @@
 }
 
 TEST_F(FailureAttributionTest, SuccessClearsTheMachine) {
-    auto& machine = world.add_machine(1);
-    attribution.failed(world.add_job(1), machine);
-    attribution.failed(world.add_job(2), machine);
-    attribution.succeeded(world.add_job(3), machine);
-    attribution.failed(world.add_job(4), machine);
+    auto& machine = fixture.add_machine(1);
+    attribution.failed(fixture.add_job(1), machine);
+    attribution.failed(fixture.add_job(2), machine);
+    attribution.succeeded(fixture.add_job(3), machine);
+    attribution.failed(fixture.add_job(4), machine);
     EXPECT_FALSE(machine.cordoned);
 }
 
 // The tasks that fail together count once, and the job is still tried within 90 s.
 TEST_F(FailureAttributionTest, PausesGrowToALimitAndOneWaveOfFailuresCountsOnce) {
-    auto& job = world.add_job(1, 50);
+    auto& job = fixture.add_job(1, 50);
     for (int n = 0; n < 20; ++n) attribution.pause(job);
-    EXPECT_LT(job.backoff_until - world.now, Millis(1300));
+    EXPECT_LT(job.backoff_until - fixture.now, Millis(1300));
     Millis longest{0};
     for (int n = 0; n < 12; ++n) {
-        world.pass(std::max(job.backoff_until - world.now, Millis(0)));
+        fixture.advance(std::max(job.backoff_until - fixture.now, Millis(0)));
         attribution.pause(job);
-        EXPECT_GT(job.backoff_until, world.now);
-        longest = std::max(longest, job.backoff_until - world.now);
+        EXPECT_GT(job.backoff_until, fixture.now);
+        longest = std::max(longest, job.backoff_until - fixture.now);
     }
     EXPECT_GE(longest, Millis(30000));
     EXPECT_LE(longest, Millis(37500));
--- a/tests/many_ancestors_test.cpp
+++ b/tests/many_ancestors_test.cpp
@@ -46,14 +46,14 @@
         end_elsewhere(s, many[n], wire::JobPhase::done);
         if (n % 50 == 0) s.run(Millis(500));
     }
-    play(s, {&w}, 5);
-    EXPECT_TRUE(s.recorded_on(last.id).empty());
+    run_workers(s, {&w}, 5);
+    EXPECT_TRUE(s.recorded_hosts(last.id).empty());
     end_elsewhere(s, many[0], wire::JobPhase::done);
-    play(s, {&w}, 5);
-    EXPECT_EQ(s.recorded_on(last.id), std::vector<std::string>{w.report.host.get()});
+    run_workers(s, {&w}, 5);
+    EXPECT_EQ(s.recorded_hosts(last.id), std::vector<std::string>{w.heartbeat.host.get()});
     // Nothing of it is left on record once it is over.
-    end_task(w, last.id);
-    play(s, {&w}, 8);
+    finish_task(w, last.id);
+    run_workers(s, {&w}, 8);
     EXPECT_EQ(s.phase(last.id), "done");
     EXPECT_TRUE(s.state().values(kv::dependency_prefix(last.id)).empty());
     EXPECT_EQ(s.state().violations(), 0u);
@@ -72,11 +72,11 @@
     ASSERT_TRUE(s.leads());
     ASSERT_EQ(s.submit(job(2)), 201);  // for which a machine is rented
     auto w = ready_machine(s, 0);
-    play(s, {&w}, 5);
-    EXPECT_TRUE(s.recorded_on(last.id).empty());
+    run_workers(s, {&w}, 5);
+    EXPECT_TRUE(s.recorded_hosts(last.id).empty());
     end_elsewhere(s, many[0], wire::JobPhase::done);
-    play(s, {&w}, 5);
-    EXPECT_EQ(s.recorded_on(last.id), std::vector<std::string>{w.report.host.get()});
+    run_workers(s, {&w}, 5);
+    EXPECT_EQ(s.recorded_hosts(last.id), std::vector<std::string>{w.heartbeat.host.get()});
 }
 
 // Even while the leader hears of nothing: a poll finds out by itself, in time.
@@ -100,7 +100,7 @@
         ASSERT_EQ(s.submit(dependent_job(n, {job(n - 1).id})), 201) << n;
         s.run(Millis(200));
     }
-    ASSERT_EQ(s.ask("POST", "/v1/jobs/" + job(1).id.get() + "/abort", {}).status, 200);
+    ASSERT_EQ(s.request("POST", "/v1/jobs/" + job(1).id.get() + "/abort", {}).status, 200);
     s.run(ControllerHarness::config().cancellation_deadline / 2);
     for (int n = 2; n <= length; ++n) EXPECT_EQ(s.phase(job(n).id), "withdrawn") << n;
     EXPECT_EQ(s.state().violations(), 0u);
@@ -125,7 +125,7 @@
     wire::encode_job(w, dependent_job(1, many));
     ASSERT_LT(w.json_size(), wire::kMaxBody);
     ASSERT_GT(w.json_size(), wire::kMaxBody * 9 / 10);
-    EXPECT_EQ(s.ask("POST", "/v1/jobs", w.take()).status, 201);
+    EXPECT_EQ(s.request("POST", "/v1/jobs", w.take()).status, 201);
     s.run(kSettled);
     EXPECT_EQ(s.phase(job(1).id), "pending");
     many.emplace_back("req-999999");
--- a/tests/reservation_test.cpp
+++ b/tests/reservation_test.cpp
@@ -21,29 +21,29 @@
     full.spot_allowed = false;
     ASSERT_EQ(s.submit(full), 201);
     auto ordinary = ready_machine(s, 0);
-    play(s, {&ordinary}, 3);
+    run_workers(s, {&ordinary}, 3);
     ASSERT_EQ(s.submit(job(2)), 201);
     auto spot = s.machine(1);
-    ASSERT_TRUE(spot.report.spot);
-    show_token(s, spot);
+    ASSERT_TRUE(spot.heartbeat.spot);
+    acknowledge_token(s, spot);
     auto aged = job(3);
     aged.team = "few";
     aged.cores = 4;
     aged.spot_allowed = false;
     ASSERT_EQ(s.submit(aged), 201);
-    play(s, {&ordinary, &spot}, 95);
+    run_workers(s, {&ordinary, &spot}, 95);
     auto other = job(4);
     other.team = "few";
     ASSERT_EQ(s.submit(other), 201);
-    play(s, {&ordinary, &spot}, 3);
-    ASSERT_EQ(s.recorded_on(other.id), Hosts{spot.report.host.get()});
-    end_task(ordinary, full.id);
+    run_workers(s, {&ordinary, &spot}, 3);
+    ASSERT_EQ(s.recorded_hosts(other.id), Hosts{spot.heartbeat.host.get()});
+    finish_task(ordinary, full.id);
     auto waiting = job(5);
     waiting.spot_allowed = false;
     ASSERT_EQ(s.submit(waiting), 201);
-    play(s, {&ordinary, &spot}, 5);
-    EXPECT_EQ(s.recorded_on(waiting.id), Hosts{ordinary.report.host.get()});
-    EXPECT_EQ(s.recorded_on(aged.id), Hosts{});
+    run_workers(s, {&ordinary, &spot}, 5);
+    EXPECT_EQ(s.recorded_hosts(waiting.id), Hosts{ordinary.heartbeat.host.get()});
+    EXPECT_EQ(s.recorded_hosts(aged.id), Hosts{});
 }
 
 // A machine is not kept for so long that others which would fit wait for 90 s.
@@ -57,18 +57,18 @@
     ASSERT_EQ(s.submit(large), 201);
     ASSERT_EQ(s.submit(small), 201);
     auto w = ready_machine(s, 0);
-    play(s, {&w}, 3);
+    run_workers(s, {&w}, 3);
     auto aged = job(3);
     aged.cores = 4;
     ASSERT_EQ(s.submit(aged), 201);
-    play(s, {&w}, 95);
-    end_task(w, small.id);
+    run_workers(s, {&w}, 95);
+    finish_task(w, small.id);
     auto fits = job(4);
     ASSERT_EQ(s.submit(fits), 201);
-    play(s, {&w}, 5);
-    EXPECT_EQ(s.recorded_on(fits.id), Hosts{});  // kept for the aged job
-    play(s, {&w}, 70);
-    EXPECT_EQ(s.recorded_on(fits.id), Hosts{w.report.host.get()});
+    run_workers(s, {&w}, 5);
+    EXPECT_EQ(s.recorded_hosts(fits.id), Hosts{});  // kept for the aged job
+    run_workers(s, {&w}, 70);
+    EXPECT_EQ(s.recorded_hosts(fits.id), Hosts{w.heartbeat.host.get()});
 }
 
 }  // namespace
--- a/tests/service_interface_test.cpp
+++ b/tests/service_interface_test.cpp
@@ -22,10 +22,10 @@
     s.run(Millis(5000));
     ASSERT_TRUE(s.leads());
     EXPECT_EQ(s.submit(j), 200);
-    show_token(s, w);
+    acknowledge_token(s, w);
     EXPECT_EQ(s.phase(j.id), "pending");
-    EXPECT_FALSE(s.recorded_on(j.id).empty());
-    EXPECT_EQ(s.ask("POST", "/v1/jobs/" + j.id.get() + "/abort", {}).status, 200);
+    EXPECT_FALSE(s.recorded_hosts(j.id).empty());
+    EXPECT_EQ(s.request("POST", "/v1/jobs/" + j.id.get() + "/abort", {}).status, 200);
     EXPECT_EQ(s.phase(j.id), "withdrawn");
     EXPECT_EQ(s.state().violations(), 0u);
 }
@@ -41,11 +41,11 @@
     const auto cancelled = job(1);
     ASSERT_EQ(s.submit(cancelled), 201);
     auto w = ready_machine(s, 0);
-    play(s, {&w}, 3);
-    ASSERT_EQ(s.recorded_on(cancelled.id), Hosts{w.report.host.get()});
-    ASSERT_EQ(s.ask("POST", "/v1/jobs/" + cancelled.id.get() + "/abort", {}).status, 200);
+    run_workers(s, {&w}, 3);
+    ASSERT_EQ(s.recorded_hosts(cancelled.id), Hosts{w.heartbeat.host.get()});
+    ASSERT_EQ(s.request("POST", "/v1/jobs/" + cancelled.id.get() + "/abort", {}).status, 200);
     s.run(config.cancellation_deadline);
-    EXPECT_TRUE(s.returned(w.report.host));
+    EXPECT_TRUE(s.scaled_in(w.heartbeat.host));
 }
 
 // A report that came after a thousand polls in the same moment is answered before them: users who
@@ -64,7 +64,7 @@
                                             false});
     }
     batch.push_back(controller::Request{RequestId(polls + 1), controller::Listener::front, "POST",
-                                        "/checkin", HarnessWorker().next(), false});
+                                        "/checkin", HarnessWorker().next_heartbeat(), false});
     const auto effects = core.apply(std::move(batch), Instant(Millis(5000)), 1700000000000);
     ASSERT_FALSE(effects.answers.empty());
     EXPECT_EQ(effects.answers.front().id, RequestId(polls + 1));
--- a/tests/sim/cluster_state_fixture.hpp
+++ b/tests/sim/cluster_state_fixture.hpp
@@ -15,16 +15,16 @@
 
 struct ClusterStateFixture {
     config::Config config;
-    sansio::Context port{1, sansio::LogLevel::info};
-    kv::KvClient store{port, config};
-    coordination::Election election{port, store, config};
-    state::ClusterState cluster_state{port, store, election};
+    sansio::Context context{1, sansio::LogLevel::info};
+    kv::KvClient store{context, config};
+    coordination::Election election{context, store, config};
+    state::ClusterState cluster_state{context, store, election};
     Instant now{Millis(1000000)};
 
-    ClusterStateFixture() { pass(Millis(0)); }
-    void pass(Millis span) {
+    ClusterStateFixture() { advance(Millis(0)); }
+    void advance(Millis span) {
         now += span;
-        port.advance_clock(now, 0);
+        context.advance_clock(now, 0);
     }
     state::Job& add_job(int number, std::uint32_t task_count = 1) {
         kv::JobRecord record;
--- a/tests/sim/controller_harness.cpp
+++ b/tests/sim/controller_harness.cpp
@@ -27,7 +27,7 @@
     return s;
 }
 
-wire::TaskStatus running(const wire::TaskCommand& order) {
+wire::TaskStatus running_status(const wire::TaskCommand& order) {
     wire::TaskStatus t;
     t.task = order.task;
     t.attempt = order.attempt;
@@ -35,60 +35,60 @@
     return t;
 }
 
-void show_token(ControllerHarness& s, HarnessWorker& w) {
-    w.report.token = s.checkin(w.next()).second.token;
+void acknowledge_token(ControllerHarness& s, HarnessWorker& w) {
+    w.heartbeat.token = s.send_heartbeat(w.next_heartbeat()).second.token;
     s.run(Millis(500));
-    s.checkin(w.next());
+    s.send_heartbeat(w.next_heartbeat());
     s.run(Millis(300));
 }
 
 HarnessWorker ready_machine(ControllerHarness& s, std::size_t n) {
     auto worker = s.machine(n);
-    show_token(s, worker);
+    acknowledge_token(s, worker);
     return worker;
 }
 
-static void obey(HarnessWorker& w, const std::vector<wire::TaskCommand>& orders) {
+static void execute_commands(HarnessWorker& w, const std::vector<wire::TaskCommand>& orders) {
     for (const auto& o : orders) {
-        std::erase_if(w.report.tasks, [&](const auto& t) { return t.task == o.task; });
-        if (o.kind == wire::CommandKind::start) w.report.tasks.push_back(running(o));
+        std::erase_if(w.heartbeat.tasks, [&](const auto& t) { return t.task == o.task; });
+        if (o.kind == wire::CommandKind::start) w.heartbeat.tasks.push_back(running_status(o));
     }
 }
 
-void play(ControllerHarness& s, const std::vector<HarnessWorker*>& workers, int seconds) {
+void run_workers(ControllerHarness& s, const std::vector<HarnessWorker*>& workers, int seconds) {
     for (int i = 0; i < seconds; ++i) {
         for (auto* w : workers) {
             while (true) {
-                const auto& all = s.directs();
+                const auto& all = s.commands_in_flight();
                 const auto it = std::find_if(all.begin(), all.end(), [&](const auto& d) {
-                    return d.endpoint == w->report.endpoint;
+                    return d.endpoint == w->heartbeat.endpoint;
                 });
                 if (it == all.end()) break;
                 const auto direct = *it;
-                w->report.token = std::max(w->report.token, direct.commands.token);
-                obey(*w, direct.commands.commands);
-                s.answer(direct, 200, w->next());
+                w->heartbeat.token = std::max(w->heartbeat.token, direct.commands.token);
+                execute_commands(*w, direct.commands.commands);
+                s.answer(direct, 200, w->next_heartbeat());
                 s.run(Millis(40));
             }
-            const auto reply = s.checkin(w->next()).second;
-            w->report.token = std::max(w->report.token, reply.token);
-            obey(*w, reply.commands);
+            const auto reply = s.send_heartbeat(w->next_heartbeat()).second;
+            w->heartbeat.token = std::max(w->heartbeat.token, reply.token);
+            execute_commands(*w, reply.commands);
         }
         s.run(Millis(1000));
     }
 }
 
-void end_task(HarnessWorker& w, const JobId& id) {
-    for (auto& t : w.report.tasks) {
+void finish_task(HarnessWorker& w, const JobId& id) {
+    for (auto& t : w.heartbeat.tasks) {
         if (t.task.job != id) continue;
         t.phase = wire::TaskPhase::exited;
         t.reason = wire::ExitReason::done;
     }
 }
 
-std::string HarnessWorker::next() {
-    ++report.order.sequence;
-    return wire::encode(report);
+std::string HarnessWorker::next_heartbeat() {
+    ++heartbeat.order.sequence;
+    return wire::encode(heartbeat);
 }
 
 const config::Config& ControllerHarness::config() {
@@ -114,7 +114,7 @@
              5,
              {[this](const wire::MachineListing& row) { up_.push_back(row); },
               [](const MachineName&) {},
-              [this](const MachineName& host) { returned_.insert(host); }}) {
+              [this](const MachineName& host) { scaled_in_.insert(host); }}) {
     restart();
 }
 
@@ -122,7 +122,7 @@
     ++incarnation_;
     queue_.clear();
     commands_in_flight_.clear();
-    core_ =
+    controller_ =
         std::make_unique<controller::Controller>(config_, incarnation_, sansio::LogLevel::debug);
 }
 
@@ -145,8 +145,8 @@
 void ControllerHarness::step() {
     std::vector<controller::Command> batch;
     batch.swap(queue_);
-    auto effects = core_->apply(std::move(batch), clock_.now(),
-                                kWallStart + clock_.now().time_since_epoch().count());
+    auto effects = controller_->apply(std::move(batch), clock_.now(),
+                                      kWallStart + clock_.now().time_since_epoch().count());
     for (auto& line : effects.logs) logs_.push_back(std::move(line.text));
     for (auto& a : effects.answers) answers_.emplace(a.id, a);
     for (auto& c : effects.calls) call(std::move(c));
@@ -172,16 +172,17 @@
         const auto doc = wire::Document::parse(c.body);
         commands_in_flight_.push_back({c.id, c.endpoint, wire::decode_commands(doc->root())});
         clock_.after(c.timeout, [this, id = c.id, done] {
-            if (std::erase_if(commands_in_flight_, [&](const Direct& d) { return d.id == id; }) >
-                0) {
+            if (std::erase_if(commands_in_flight_,
+                              [&](const DirectCommand& d) { return d.id == id; }) > 0) {
                 done({HttpResult::kNoResponse, {}});
             }
         });
     }
 }
 
-sansio::HttpResponse ControllerHarness::ask(const std::string& method, const std::string& target,
-                                            const std::string& body) {
+sansio::HttpResponse ControllerHarness::request(const std::string& method,
+                                                const std::string& target,
+                                                const std::string& body) {
     const RequestId id(++next_request_);
     queue_.push_back(
         controller::Request{id, controller::Listener::front, method, target, body, false});
@@ -192,26 +193,26 @@
 int ControllerHarness::submit(const wire::JobSpec& job) {
     wire::Writer w;
     wire::encode_job(w, job);
-    return ask("POST", "/v1/jobs", w.take()).status;
+    return request("POST", "/v1/jobs", w.take()).status;
 }
 
 std::string ControllerHarness::phase(const JobId& id) {
-    const auto answer = ask("GET", "/v1/jobs/" + id.get(), {});
+    const auto answer = request("GET", "/v1/jobs/" + id.get(), {});
     const auto doc = wire::Document::parse(answer.body);
     if (answer.status != 200 || !doc) return {};
     return doc->root()["phase"].need_text("phase");
 }
 
-std::pair<int, wire::CommandBatch> ControllerHarness::checkin(const std::string& report) {
-    const auto a = ask("POST", "/checkin", report);
+std::pair<int, wire::CommandBatch> ControllerHarness::send_heartbeat(const std::string& report) {
+    const auto a = request("POST", "/checkin", report);
     const auto doc = wire::Document::parse(a.body);
     return {a.status,
             a.status == 200 && doc ? wire::decode_commands(doc->root()) : wire::CommandBatch()};
 }
 
-void ControllerHarness::answer(const Direct& direct, int status, const std::string& report) {
+void ControllerHarness::answer(const DirectCommand& direct, int status, const std::string& report) {
     const auto id = direct.id;
-    std::erase_if(commands_in_flight_, [&](const Direct& d) { return d.id == id; });
+    std::erase_if(commands_in_flight_, [&](const DirectCommand& d) { return d.id == id; });
     queue_.push_back(controller::CallCompleted{id, {status, report}});
 }
 
@@ -220,12 +221,12 @@
     HarnessWorker p;
     if (up_.size() <= n) return p;
     const auto& row = up_[n];
-    p.report.host = row.host;
-    p.report.endpoint = row.endpoint;
-    p.report.machine_type = row.machine_type;
-    p.report.zone = row.zone;
-    p.report.spot = row.spot;
-    p.report.order.agent_epoch = 1;
+    p.heartbeat.host = row.host;
+    p.heartbeat.endpoint = row.endpoint;
+    p.heartbeat.machine_type = row.machine_type;
+    p.heartbeat.zone = row.zone;
+    p.heartbeat.spot = row.spot;
+    p.heartbeat.order.agent_epoch = 1;
     return p;
 }
 
@@ -240,7 +241,7 @@
                       [&](const auto& line) { return line.find(what) != std::string::npos; }));
 }
 
-std::vector<std::string> ControllerHarness::recorded_on(const JobId& id) const {
+std::vector<std::string> ControllerHarness::recorded_hosts(const JobId& id) const {
     std::vector<std::string> out;
     for (const auto& [key, value] : state_.values("prog/" + id.get() + "/")) {
         const auto doc = wire::Document::parse(value);
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -34,20 +34,20 @@
     ASSERT_EQ(s.submit(first), 201);
     ASSERT_EQ(s.submit(second), 201);
     auto w = ready_machine(s, 0);
-    play(s, {&w}, 3);
+    run_workers(s, {&w}, 3);
     s.state().set_watches_stalled(true);  // nor does the watch of the ends tell of it
     s.set_writes_lost(true);
-    end_task(w, first.id);
-    play(s, {&w}, 1);
+    finish_task(w, first.id);
+    run_workers(s, {&w}, 1);
     s.write(kv::terminal_key(first.id),
             encode(kv::TerminalRecord{wire::JobPhase::cancelled, std::nullopt, 1}).packed);
     s.set_writes_lost(false);
-    play(s, {&w}, 5);
+    run_workers(s, {&w}, 5);
     EXPECT_TRUE(s.logged("event=transaction_retried"));
     EXPECT_FALSE(s.logged("event=transaction_outcome_unknown"));
     EXPECT_EQ(s.phase(first.id), "withdrawn");
     EXPECT_EQ(s.phase(second.id), "withdrawn");
-    EXPECT_TRUE(s.recorded_on(second.id).empty());
+    EXPECT_TRUE(s.recorded_hosts(second.id).empty());
 }
 
 class LostResponses : public testing::TestWithParam<std::uint64_t> {};
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -159,29 +159,29 @@
 }
 
 // The tasks of the one job that may run begin on a machine, and the first of them ends.
-void begin_tasks_and_end_first(ControllerHarness& script) {
-    auto w = script.machine(0);
-    w.report.token = script.checkin(w.next()).second.token;
-    script.run(Millis(500));
-    script.checkin(w.next());
-    script.run(Millis(300));
-    ASSERT_EQ(script.directs().size(), 1u);
-    for (const auto& order : script.directs()[0].commands.commands) {
+void begin_tasks_and_end_first(ControllerHarness& harness) {
+    auto w = harness.machine(0);
+    w.heartbeat.token = harness.send_heartbeat(w.next_heartbeat()).second.token;
+    harness.run(Millis(500));
+    harness.send_heartbeat(w.next_heartbeat());
+    harness.run(Millis(300));
+    ASSERT_EQ(harness.commands_in_flight().size(), 1u);
+    for (const auto& order : harness.commands_in_flight()[0].commands.commands) {
         wire::TaskStatus t;
         t.task = order.task;
         t.attempt = order.attempt;
         t.phase = order.task.index == 0 ? wire::TaskPhase::exited : wire::TaskPhase::running;
         if (order.task.index == 0) t.reason = wire::ExitReason::done;
-        w.report.tasks.push_back(t);
+        w.heartbeat.tasks.push_back(t);
     }
-    script.answer(script.directs()[0], 200, w.next());
-    script.run(Millis(3000));
+    harness.answer(harness.commands_in_flight()[0], 200, w.next_heartbeat());
+    harness.run(Millis(3000));
 }
 
-void run_three_tasks(ControllerHarness& script) {
-    script.run(Millis(3000));
-    ASSERT_EQ(script.submit(job(1, 3)), 201);
-    begin_tasks_and_end_first(script);
+void run_three_tasks(ControllerHarness& harness) {
+    harness.run(Millis(3000));
+    ASSERT_EQ(harness.submit(job(1, 3)), 201);
+    begin_tasks_and_end_first(harness);
 }
 
 // Until the switch, what the new version writes is what production writes, to the letter; so is
@@ -190,11 +190,11 @@
     for (const std::uint64_t format : {2, 3}) {
         auto config = with_a_peer_unheard();
         config.newest_record_format = format;
-        ControllerHarness script(1, config);
-        run_three_tasks(script);
+        ControllerHarness harness(1, config);
+        run_three_tasks(harness);
         for (const auto& [key, hex] : kProduction) {
             if (std::string(key).starts_with("job/")) continue;  // it holds the time of day
-            EXPECT_EQ(script.state().value(key), bytes(hex)) << key << " format " << format;
+            EXPECT_EQ(harness.state().value(key), bytes(hex)) << key << " format " << format;
         }
     }
 }
@@ -204,32 +204,32 @@
 TEST(FirstFormatWithDependencies, IsWrittenWhileItIsInForce) {
     auto config = ControllerHarness::config();
     config.newest_record_format = 3;
-    ControllerHarness script(1, config);
-    script.run(Millis(3000));
-    ASSERT_EQ(script.submit(job(1, 3)), 201);
+    ControllerHarness harness(1, config);
+    harness.run(Millis(3000));
+    ASSERT_EQ(harness.submit(job(1, 3)), 201);
     auto second = job(2);
     second.waits_on = {job(1).id};
-    ASSERT_EQ(script.submit(second), 201);
+    ASSERT_EQ(harness.submit(second), 201);
     auto third = job(3);
     third.waits_on = {job(2).id};
-    ASSERT_EQ(script.submit(third), 201);
-    begin_tasks_and_end_first(script);
-    ASSERT_EQ(script.ask("POST", "/v1/jobs/req-000003/abort", {}).status, 200);
+    ASSERT_EQ(harness.submit(third), 201);
+    begin_tasks_and_end_first(harness);
+    ASSERT_EQ(harness.request("POST", "/v1/jobs/req-000003/abort", {}).status, 200);
     for (const auto& [key, hex] : kFirstWithChains) {
-        EXPECT_EQ(without_times(script.state().value(key)), without_times(bytes(hex))) << key;
+        EXPECT_EQ(without_times(harness.state().value(key)), without_times(bytes(hex))) << key;
     }
 }
 
 TEST(FirstFormatWithDependencies, IsRead) {
-    ControllerHarness script(1);
-    for (const auto& [key, hex] : kFirstWithChains) script.write(key, bytes(hex));
-    script.run(Millis(6000));
-    ASSERT_TRUE(script.leads());
-    EXPECT_EQ(script.recorded_on(JobId("req-000001")), std::vector<std::string>{"vm-000000"});
-    EXPECT_EQ(script.phase(JobId("req-000002")), "pending");
-    EXPECT_EQ(script.phase(JobId("req-000003")), "withdrawn");
+    ControllerHarness harness(1);
+    for (const auto& [key, hex] : kFirstWithChains) harness.write(key, bytes(hex));
+    harness.run(Millis(6000));
+    ASSERT_TRUE(harness.leads());
+    EXPECT_EQ(harness.recorded_hosts(JobId("req-000001")), std::vector<std::string>{"vm-000000"});
+    EXPECT_EQ(harness.phase(JobId("req-000002")), "pending");
+    EXPECT_EQ(harness.phase(JobId("req-000003")), "withdrawn");
     // It waits on: nothing of the second job is placed while the first has tasks left.
-    EXPECT_TRUE(script.recorded_on(JobId("req-000002")).empty());
+    EXPECT_TRUE(harness.recorded_hosts(JobId("req-000002")).empty());
 }
 
 TEST(Heartbeat, OfEitherEarlierVersionIsRead) {
@@ -266,12 +266,12 @@
 }
 
 TEST(ProductionFormat, IsRead) {
-    ControllerHarness script(1);
-    for (const auto& [key, hex] : kProduction) script.write(key, bytes(hex));
-    script.run(Millis(6000));
-    ASSERT_TRUE(script.leads());
-    EXPECT_EQ(script.recorded_on(JobId("req-000001")), std::vector<std::string>{"vm-000000"});
-    const auto answer = script.ask("GET", "/v1/jobs/req-000001", {});
+    ControllerHarness harness(1);
+    for (const auto& [key, hex] : kProduction) harness.write(key, bytes(hex));
+    harness.run(Millis(6000));
+    ASSERT_TRUE(harness.leads());
+    EXPECT_EQ(harness.recorded_hosts(JobId("req-000001")), std::vector<std::string>{"vm-000000"});
+    const auto answer = harness.request("GET", "/v1/jobs/req-000001", {});
     const auto doc = wire::Document::parse(answer.body);
     EXPECT_EQ(doc->root()["done"].count(), 1u);
 }
@@ -280,34 +280,34 @@
 TEST(ProductionFormat, TheOlderVersionStopsAtTheMark) {
     auto config = ControllerHarness::config();
     config.newest_record_format = 2;
-    ControllerHarness script(1, config);
-    script.write(kv::kFormatMark, wire::Writer().map(1).text("v").count(3).take());
-    for (const auto& [key, hex] : kProduction) script.write(key, bytes(hex));
-    script.run(Millis(8000));
-    EXPECT_FALSE(script.leads());
-    EXPECT_TRUE(script.logged("event=invalid_record key=rent/!format"));
+    ControllerHarness harness(1, config);
+    harness.write(kv::kFormatMark, wire::Writer().map(1).text("v").count(3).take());
+    for (const auto& [key, hex] : kProduction) harness.write(key, bytes(hex));
+    harness.run(Millis(8000));
+    EXPECT_FALSE(harness.leads());
+    EXPECT_TRUE(harness.logged("event=invalid_record key=rent/!format"));
 }
 
 // What no longer fits a record is put off, and the rest of the job goes on.
 TEST(LimitsBeforeFormatSwitch, AJobRunsAsManyTasksAsCanBeRecorded) {
     auto config = with_a_peer_unheard();
     config.kv_limits = config::KvLimits({200, 80, 16, 48}, config::KvLimits::Set{200, 80, 1, 16});
-    ControllerHarness script(1, config);
-    script.run(Millis(3000));
+    ControllerHarness harness(1, config);
+    harness.run(Millis(3000));
     auto large = job(1, 256);
     large.cores = large.ram_gb = 0.05;
-    ASSERT_EQ(script.submit(large), 201);
-    script.state().set_limits({200, 80, 16, 1024, 20});
-    auto w = script.machine(0);
-    show_token(script, w);
-    play(script, {&w}, 12);
-    const auto first = w.report.tasks.size();
+    ASSERT_EQ(harness.submit(large), 201);
+    harness.state().set_limits({200, 80, 16, 1024, 20});
+    auto w = harness.machine(0);
+    acknowledge_token(harness, w);
+    run_workers(harness, {&w}, 12);
+    const auto first = w.heartbeat.tasks.size();
     EXPECT_GT(first, 20u);
     EXPECT_LT(first, 256u);
-    end_task(w, large.id);
-    play(script, {&w}, 12);
-    EXPECT_GT(w.report.tasks.size(), 20u);  // others have taken their place
-    EXPECT_LE(script.state().violations(), 2u);
+    finish_task(w, large.id);
+    run_workers(harness, {&w}, 12);
+    EXPECT_GT(w.heartbeat.tasks.size(), 20u);  // others have taken their place
+    EXPECT_LE(harness.state().violations(), 2u);
 }
 
 class Upgrade : public testing::TestWithParam<std::uint64_t> {};
@@ -349,7 +349,7 @@
 struct RollOut {
     const char* name;
     // Ends with every controller upgraded.
-    void (*play)(SimulatedCluster&);
+    void (*upgrade_all)(SimulatedCluster&);
 };
 void PrintTo(const RollOut& rollout, std::ostream* out) { *out << rollout.name; }
 
@@ -464,7 +464,7 @@
     options.fan_in = 20;
     SimulatedCluster world(options);
     world.run_for(s(45));
-    rollout.play(world);
+    rollout.upgrade_all(world);
     world.run_for(s(15));
     EXPECT_EQ(world.format(), config::kNewestFormat);
     world.lower_limits();
