--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -1,6 +1,7 @@
 #include "wire/cloud_messages.hpp"
 
 #include <algorithm>
+#include <utility>
 
 #include "wire/field_helpers.hpp"
 
@@ -12,28 +13,44 @@
                                                  {"running", MachinePhase::running},
                                                  {"failed", MachinePhase::failed}}};
 
+constexpr double kUnknownStartup_s = 60;
+
+MachineType decode_machine_type(Value value) {
+    MachineType type;
+    type.name = value["name"].need_text("name");
+    type.cores = need_amount(value["cores"], "cores");
+    type.accelerators = value["accelerators"].number().value_or(0);
+    type.ram_gb = need_amount(value["ram_gb"], "ram_gb");
+    type.cache_gb = value["cache_gb"].number().value_or(0);
+    type.fetch_gb_per_s = value["fetch_gb_per_s"].number().value_or(0);
+    type.rate = need_amount(value["rate"], "rate");
+    type.low_price = value["low_price"].number().value_or(type.rate);
+    type.startup_s = value["startup_s"].number().value_or(kUnknownStartup_s);
+    type.zones = text_list(value["regions"], "regions");
+    return type;
+}
+
+MachineListing decode_machine_listing(Value value) {
+    MachineListing listing;
+    listing.host = MachineName(value["name_id"].need_text("name_id"));
+    listing.endpoint = value["endpoint"].text().value_or("");
+    listing.machine_type = value["shape"].need_text("shape");
+    listing.zone = value["region"].need_text("region");
+    listing.spot = value["reclaimable"].boolean().value_or(false);
+    const auto phase = from_name(kMachinePhases, value["phase"].need_text("phase"));
+    listing.phase = phase.value_or(MachinePhase::starting);
+    listing.held_s = value["held_s"].number().value_or(0);
+    return listing;
+}
+
 }  // namespace
 
 std::vector<MachineType> decode_machine_types(Value body) {
     const Value list = body["shapes"];
     if (!list.is_list()) invalid("shapes");
-    std::vector<MachineType> out;
-    for (std::size_t i = 0; i < list.size(); ++i) {
-        const Value v = list.at(i);
-        MachineType t;
-        t.name = v["name"].need_text("name");
-        t.cores = need_amount(v["cores"], "cores");
-        t.accelerators = v["accelerators"].number().value_or(0);
-        t.ram_gb = need_amount(v["ram_gb"], "ram_gb");
-        t.cache_gb = v["cache_gb"].number().value_or(0);
-        t.fetch_gb_per_s = v["fetch_gb_per_s"].number().value_or(0);
-        t.rate = need_amount(v["rate"], "rate");
-        t.low_price = v["low_price"].number().value_or(t.rate);
-        t.startup_s = v["startup_s"].number().value_or(60);
-        t.zones = text_list(v["regions"], "regions");
-        out.push_back(std::move(t));
-    }
-    return out;
+    std::vector<MachineType> types;
+    for (std::size_t i = 0; i < list.size(); ++i) types.push_back(decode_machine_type(list.at(i)));
+    return types;
 }
 
 bool can_hold(const MachineType& type, const Resources& need,
@@ -45,17 +62,16 @@
     return Resources{type.cores, type.accelerators, type.ram_gb}.holds(need);
 }
 
-std::string encode(const ScaleOutRequest& r) {
-    Writer w;
-    w.map(5)
-        .text("claim")
-        .text(r.idempotency_key)
-        .text("shape")
-        .text(r.machine_type)
-        .text("region")
-        .text(r.zone);
-    w.text("reclaimable").boolean(r.spot).text("how_many").count(r.how_many);
-    return w.take();
+std::string encode(const ScaleOutRequest& request) {
+    constexpr std::size_t fields = 5;
+    Writer writer;
+    writer.map(fields);
+    writer.text("claim").text(request.idempotency_key);
+    writer.text("shape").text(request.machine_type);
+    writer.text("region").text(request.zone);
+    writer.text("reclaimable").boolean(request.spot);
+    writer.text("how_many").count(request.how_many);
+    return writer.take();
 }
 
 ScaleOutRequest decode_scale_out_request(Value body) {
@@ -70,32 +86,22 @@
     MachineListPage page;
     page.has_next = body["has_next"].boolean().value_or(false);
     for (std::size_t i = 0; i < list.size(); ++i) {
-        const Value v = list.at(i);
-        MachineListing r;
-        r.host = MachineName(v["name_id"].need_text("name_id"));
-        r.endpoint = v["endpoint"].text().value_or("");
-        r.machine_type = v["shape"].need_text("shape");
-        r.zone = v["region"].need_text("region");
-        r.spot = v["reclaimable"].boolean().value_or(false);
-        r.phase = from_name(kMachinePhases, v["phase"].need_text("phase"))
-                      .value_or(MachinePhase::starting);
-        r.held_s = v["held_s"].number().value_or(0);
-        page.hosts.push_back(std::move(r));
+        page.hosts.push_back(decode_machine_listing(list.at(i)));
     }
     return page;
 }
 
 std::vector<MachineName> decode_hosts(Value body) {
-    std::vector<MachineName> out;
-    for (auto& s : text_list(body["hosts"], "hosts")) out.emplace_back(std::move(s));
-    return out;
+    std::vector<MachineName> hosts;
+    for (auto& name : text_list(body["hosts"], "hosts")) hosts.emplace_back(std::move(name));
+    return hosts;
 }
 
 std::string encode_hosts(const std::vector<MachineName>& hosts) {
-    Writer w;
-    w.map(1).text("hosts").list(hosts.size());
-    for (const auto& h : hosts) w.text(h.get());
-    return w.take();
+    Writer writer;
+    writer.map(1).text("hosts").list(hosts.size());
+    for (const auto& host : hosts) writer.text(host.get());
+    return writer.take();
 }
 
 }  // namespace dunebridge::wire
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -4,6 +4,15 @@
 
 namespace dunebridge::wire {
 
+namespace {
+// Above 2^53 a float no longer says which integer was meant.
+constexpr double kLargestExactInteger = 9007199254740992.0;
+constexpr std::size_t kMaxItems = 0x100000;
+constexpr std::size_t kMaxTextBytes = 0x4000000;
+// Depth is limited so that a hostile body cannot exhaust the stack.
+constexpr std::size_t kMaxDepth = 64;
+}  // namespace
+
 Value Value::operator[](std::string_view name) const {
     if (!is_map()) return Value();
     const auto& map = object_->via.map;
@@ -44,8 +53,7 @@
     if (!object_) return std::nullopt;
     if (object_->type == msgpack::type::POSITIVE_INTEGER) return object_->via.u64;
     const auto n = number();
-    // Above 2^53 a float no longer says which integer was meant.
-    if (!n || *n < 0 || *n > 9007199254740992.0 || *n != std::floor(*n)) return std::nullopt;
+    if (!n || *n < 0 || *n > kLargestExactInteger || *n != std::floor(*n)) return std::nullopt;
     return static_cast<std::uint64_t>(*n);
 }
 
@@ -81,10 +89,9 @@
     try {
         Document doc;
         std::size_t offset = 0;
-        // Depth is limited so that a hostile body cannot exhaust the stack.
-        doc.handle_ =
-            msgpack::unpack(bytes.data(), bytes.size(), offset, nullptr, nullptr,
-                            msgpack::unpack_limit(0x100000, 0x100000, 0x4000000, 0, 0, 64));
+        doc.handle_ = msgpack::unpack(
+            bytes.data(), bytes.size(), offset, nullptr, nullptr,
+            msgpack::unpack_limit(kMaxItems, kMaxItems, kMaxTextBytes, 0, 0, kMaxDepth));
         if (offset != bytes.size()) return std::nullopt;
         return doc;
     } catch (const std::exception&) {
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,4 +1,5 @@
-// MessagePack reading and writing, tolerant of what the protocol lets a peer send.
+/// \file
+/// Reading and writing of MessagePack, tolerant of what the protocol lets a peer send.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +12,11 @@
 
 namespace dunebridge::wire {
 
+/// The largest body of a request that is accepted, in bytes.
 inline constexpr std::size_t kMaxBody = std::size_t{64} * 1024;
 
-// A view of one decoded value. An absent or null value is a view of nil.
+/// A view of one decoded value, valid as long as its Document. An absent or null value is a view of
+/// nil.
 class Value {
   public:
     Value() = default;
@@ -23,38 +26,38 @@
     bool is_map() const { return object_ && object_->type == msgpack::type::MAP; }
     bool is_list() const { return object_ && object_->type == msgpack::type::ARRAY; }
 
-    // Field of a map; nil if this is not a map or has no such field.
+    /// Field of a map; nil if this is not a map or has no such field.
     Value operator[](std::string_view name) const;
     std::size_t size() const { return is_list() ? object_->via.array.size : 0; }
     Value at(std::size_t i) const { return Value(object_->via.array.ptr[i]); }
     bool contains(std::string_view name) const;
 
-    // Empty if of another type. Whole numbers may come as integers or as floats.
+    /// Empty if of another type. Whole numbers may come as integers or as floats.
     std::optional<std::string_view> text() const;
     std::optional<double> number() const;
     std::optional<std::uint64_t> count() const;
     std::optional<bool> boolean() const;
 
-    // As above, throwing DecodeError that names the field.
+    /// As above, throwing DecodeError that names the field.
     std::string need_text(const char* what) const;
     double need_number(const char* what) const;
     std::uint64_t need_count(const char* what) const;
     bool need_bool(const char* what) const;
 
-    // Packs the value as it is.
+    /// Packs the value as it is.
     std::string pack() const;
 
   private:
     const msgpack::object* object_ = nullptr;
 };
 
-// Owns a decoded body. Decoding failures leave a nil root.
+/// Owns a decoded body.
 class Document {
   public:
     Document() = default;
-    // Empty if the bytes are not MessagePack.
+    /// Empty if the bytes are not MessagePack.
     static std::optional<Document> parse(std::string_view bytes);
-    // Throws DecodeError if they are not.
+    /// Throws DecodeError if they are not.
     static Document need(std::string_view bytes);
     Value root() const { return Value(handle_.get()); }
 
@@ -62,20 +65,21 @@
     msgpack::object_handle handle_;
 };
 
+/// Bytes of a message that is being written.
 using Buffer = msgpack::sbuffer;
 
-// Writer of maps and lists: the caller states sizes, as MessagePack wants them first. It also keeps
-// count of the size in JSON, never too low, as the protocol's limits are counted in that form.
+/// Writer of maps and lists. The caller states sizes first, as MessagePack requires. It also adds
+/// up the size in JSON, never too low, since the limits of the key-value store count that form.
 class Writer {
   public:
     Writer() : packer_(buffer_) {}
     Writer& map(std::size_t n) {
-        json_ += 3;
+        json_ += kJsonBrackets;
         packer_.pack_map(static_cast<std::uint32_t>(n));
         return *this;
     }
     Writer& list(std::size_t n) {
-        json_ += 3;
+        json_ += kJsonBrackets;
         packer_.pack_array(static_cast<std::uint32_t>(n));
         return *this;
     }
@@ -93,21 +97,25 @@
         return *this;
     }
     Writer& number(double v) {
-        json_ += 25;
+        json_ += kJsonNumber;
         packer_.pack_double(v);
         return *this;
     }
     Writer& boolean(bool v) {
-        json_ += 6;
-        v ? packer_.pack_true() : packer_.pack_false();
+        json_ += kJsonBoolean;
+        if (v) {
+            packer_.pack_true();
+        } else {
+            packer_.pack_false();
+        }
         return *this;
     }
     Writer& null() {
-        json_ += 5;
+        json_ += kJsonNull;
         packer_.pack_nil();
         return *this;
     }
-    // Appends a value packed earlier, of that size in JSON.
+    /// Appends a value packed earlier, of that size in JSON.
     Writer& raw(std::string_view packed, std::size_t json = 0) {
         json_ += json;
         buffer_.write(packed.data(), packed.size());
@@ -118,7 +126,13 @@
     std::string take() { return std::string(buffer_.data(), buffer_.size()); }
 
   private:
-    // With the separator that follows.
+    // Bytes in JSON, each with the separator that follows.
+    static constexpr std::size_t kJsonBrackets = 3;
+    static constexpr std::size_t kJsonNumber = 25;
+    static constexpr std::size_t kJsonBoolean = 6;
+    static constexpr std::size_t kJsonNull = 5;
+
+    /// With the separator that follows.
     static std::size_t json_text(std::string_view s) {
         std::size_t n = 3;
         for (const char c : s)
--- a/src/wire/decode_error.hpp
+++ b/src/wire/decode_error.hpp
@@ -1,4 +1,5 @@
-// Why a message or a record cannot be decoded.
+/// \file
+/// The error that decoders throw.
 #pragma once
 
 #include <cstdint>
@@ -8,25 +9,27 @@
 
 namespace dunebridge::wire {
 
+/// Why a message or a record cannot be decoded.
 enum class DecodeProblem : std::uint8_t {
     not_messagepack,
     not_a_map,
     unknown_version,
-    bad_field  // missing, of another type, or out of its range
+    bad_field  ///< missing, of another type, or out of its range
 };
 
+/// Thrown by decoders. what() can be shown to the sender of the message.
 class DecodeError : public std::runtime_error {
   public:
     explicit DecodeError(DecodeProblem problem)
         : std::runtime_error(text_of(problem)), problem_(problem) {}
-    // Of the field with that name.
+    /// The field is missing, of another type, or out of its range.
     explicit DecodeError(std::string field)
         : std::runtime_error("missing or invalid field: " + field),
           problem_(DecodeProblem::bad_field),
           field_(std::move(field)) {}
 
     DecodeProblem problem() const { return problem_; }
-    // Empty if the problem is not with a field.
+    /// Empty if the problem is not with a field.
     const std::string& field() const { return field_; }
 
   private:
--- a/src/wire/field_helpers.hpp
+++ b/src/wire/field_helpers.hpp
@@ -1,4 +1,5 @@
-// What the message codecs share: enumerations by their names, and fields with checks.
+/// \file
+/// Helpers that the message codecs share: enumerations by name, and checked fields.
 #pragma once
 
 #include <array>
@@ -13,10 +14,11 @@
 
 namespace dunebridge::wire {
 
-// The values of an enumeration with their names on the wire.
+/// The values of an enumeration with their names on the wire.
 template <class E, std::size_t N>
 using Names = std::array<std::pair<std::string_view, E>, N>;
 
+/// The value of that name, if there is one.
 template <class E, std::size_t N>
 std::optional<E> from_name(const Names<E, N>& names, std::string_view s) {
     for (const auto& [name, e] : names)
@@ -24,6 +26,7 @@
     return std::nullopt;
 }
 
+/// The name of a value; empty if it has none.
 template <class E, std::size_t N>
 std::string_view to_name(const Names<E, N>& names, E e) {
     for (const auto& [name, v] : names)
@@ -31,9 +34,10 @@
     return "";
 }
 
+/// Throws DecodeError that names the field.
 [[noreturn]] inline void invalid(const char* field) { throw DecodeError(std::string(field)); }
 
-// A number from 0 to a thousand million.
+/// A number from 0 to a thousand million. Throws DecodeError.
 inline double need_amount(Value v, const char* field) {
     constexpr double most = 1e9;
     const double d = v.need_number(field);
@@ -41,6 +45,7 @@
     return d;
 }
 
+/// A list of texts. Throws DecodeError.
 inline std::vector<std::string> text_list(Value v, const char* field) {
     if (!v.is_list()) invalid(field);
     std::vector<std::string> out;
--- a/src/wire/job_messages.hpp
+++ b/src/wire/job_messages.hpp
@@ -1,4 +1,5 @@
-// Messages of the users' interface: jobs, as submitted, and their states.
+/// \file
+/// Messages of the users' interface: submitted jobs and their states.
 #pragma once
 
 #include <cstdint>
@@ -12,51 +13,58 @@
 
 namespace dunebridge::wire {
 
+/// Priority of a job, the lowest first.
 enum class Priority : std::uint8_t { idle, standard, urgent, prod };
 
-// A submission (POST /v1/jobs). Also kept, packed, in the state service.
+/// A submission. It is also kept, packed, in the key-value store.
 struct JobSpec {
     JobId id;
     std::string job_class;
     std::string team;
     Priority priority = Priority::standard;
     std::uint32_t task_count = 1;
-    double cores = 0;
+    double cores = 0;  ///< of one task, as are the next two
     double accelerators = 0;
     double ram_gb = 0;
-    std::optional<std::vector<std::string>> machine_types;
-    std::optional<std::string> zone;
-    bool together = false;
-    bool apart = false;
+    std::optional<std::vector<std::string>> machine_types;  ///< absent: any
+    std::optional<std::string> zone;                        ///< absent: any
+    bool together = false;                                  ///< all tasks in one zone
+    bool apart = false;  ///< at most half of the tasks, rounded up, in one zone
     bool spot_allowed = false;
     std::string image;
     double image_gb = 0;
-    double expected_s = 0;
-    double checkpoint_every_s = 0;
-    double checkpoint_s = 0;
-    std::optional<double> due_s;
-    std::vector<JobId> waits_on;  // jobs that must be done before any of its tasks starts
+    double expected_s = 0;          ///< the owner's estimate of a task's run time
+    double checkpoint_every_s = 0;  ///< 0: tasks take no checkpoints
+    double checkpoint_s = 0;        ///< time that one checkpoint takes
+    std::optional<double> due_s;    ///< deadline, from the submission
+    std::vector<JobId> waits_on;    ///< jobs that must be done before any of its tasks starts
 };
 
-// The id alone, if the body is a map with a valid one: a repeat is answered by its id.
+/// The id alone, if the body is a map with a valid one: a repeated submission is answered by it.
 std::optional<JobId> peek_job_id(Value body);
+/// Whether the text has the form of a job id.
 bool valid_job_id(std::string_view id);
-// A list of ids, each once. Throws DecodeError.
+/// A list of ids, sorted and without repetitions. Throws DecodeError that names the field.
 std::vector<JobId> job_ids(Value list, const char* what);
-void encode_job_ids(Writer& w, const std::vector<JobId>& ids);
-// Throws DecodeError. Only `array` jobs occur today: other kinds are refused here.
+void encode_job_ids(Writer& writer, const std::vector<JobId>& ids);
+/// Throws DecodeError. Job arrays are the only kind of job that the protocol knows.
 JobSpec decode_job(Value body);
-void encode_job(Writer& w, const JobSpec& job);
+void encode_job(Writer& writer, const JobSpec& job);
 
+/// State of a job as users see it.
 enum class JobPhase : std::uint8_t { pending, running, done, cancelled };
+
+/// Name of the phase on the wire.
 std::string_view name_of(JobPhase phase);
 
+/// The answer to a poll.
 struct JobStatus {
     JobId id;
     JobPhase phase = JobPhase::pending;
-    std::uint64_t done = 0;
-    std::uint64_t running = 0;
+    std::uint64_t done = 0;     ///< number of tasks
+    std::uint64_t running = 0;  ///< number of tasks
 };
+
 std::string encode(const JobStatus& status);
 
 }  // namespace dunebridge::wire
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -1,4 +1,8 @@
-// The protocol's messages as typed structs. The protocol's own field names stay in this package.
+/// \file
+/// All messages of the protocol as typed structs.
+///
+/// The wire package is the only place that knows the protocol's field names: each codec maps them
+/// to the terms of the field that the rest of the code uses. docs/architecture.md lists the terms.
 #pragma once
 
 #include "wire/cloud_messages.hpp"
--- a/src/wire/state_messages.hpp
+++ b/src/wire/state_messages.hpp
@@ -1,4 +1,5 @@
-// Transactions of the state service.
+/// \file
+/// Transactions of the key-value store: a compare-and-swap over several keys.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +13,20 @@
 
 namespace dunebridge::wire {
 
+/// Holds while the key is at the given revision.
 struct Precondition {
     std::string key;
-    KeyRevision rev;  // 0: the key does not exist
+    KeyRevision rev;  ///< 0: the key must not exist
 };
+
+/// One change that a transaction makes if all of its preconditions hold.
 struct Write {
     std::string key;
-    std::optional<std::string> value;  // packed; none: remove
-    std::optional<LeaseId> lease;
+    std::optional<std::string> value;  ///< MessagePack; absent: the key is removed
+    std::optional<LeaseId> lease;      ///< the key is removed when this lease expires
 };
+
+/// Body of a transaction request.
 std::string encode_transaction(const std::vector<Precondition>& preconditions,
                                const std::vector<Write>& writes);
 
