--- a/src/scheduler/bin_packing.cpp
+++ b/src/scheduler/bin_packing.cpp
@@ -1,49 +1,66 @@
 #include "scheduler/bin_packing.hpp"
 
 #include <algorithm>
-#include <tuple>
+#include <compare>
 #include <utility>
 
 namespace dunebridge::scheduler {
 
 namespace {
 
-double used_share(const FreeCapacity& r) {
-    return r.total.cores > 0 ? 1.0 - r.free.cores / r.total.cores : 0.0;
+/// Rank of a machine that can take a task now; the greatest goes first.
+struct BestFitRank {
+    double used_share = 0;
+    bool has_image = false;
+    double negative_size = 0;  // a smaller machine goes first
+    auto operator<=>(const BestFitRank&) const = default;
+};
+
+template <class Rank>
+struct RankedMachine {
+    Rank rank;
+    MachineIndex machine;
+};
+
+double used_share(const FreeCapacity& machine) {
+    if (machine.total.cores <= 0) return 0;
+    return 1.0 - machine.free.cores / machine.total.cores;
 }
 
-// Indices by rank, the highest first; equal ranks keep their order.
+/// The machines by rank, the greatest first; machines of equal rank keep their order.
 template <class Rank>
-std::vector<std::size_t> by_rank(std::vector<std::pair<Rank, std::size_t>>&& ranked) {
+std::vector<MachineIndex> sort_by_rank(std::vector<RankedMachine<Rank>> ranked) {
     std::stable_sort(ranked.begin(), ranked.end(),
-                     [](const auto& a, const auto& b) { return a.first > b.first; });
-    std::vector<std::size_t> out;
-    out.reserve(ranked.size());
-    for (const auto& [rank, i] : ranked) out.push_back(i);
-    return out;
+                     [](const auto& a, const auto& b) { return a.rank > b.rank; });
+    std::vector<MachineIndex> machines;
+    machines.reserve(ranked.size());
+    for (const auto& entry : ranked) machines.push_back(entry.machine);
+    return machines;
 }
 
 }  // namespace
 
-std::vector<std::size_t> best_fit(const std::vector<FreeCapacity>& rooms, const Resources& need,
-                                  const Allowed& allowed, const HasImage& has_image) {
-    using Rank = std::tuple<double, bool, double>;
-    std::vector<std::pair<Rank, std::size_t>> ranked;
-    for (std::size_t i = 0; i < rooms.size(); ++i) {
-        const auto& r = rooms[i];
-        if (!r.free.holds(need) || !r.later.holds(need) || !allowed(i)) continue;
-        ranked.emplace_back(Rank{used_share(r), has_image(i), -r.total.cores}, i);
+std::vector<MachineIndex> best_fit(const std::vector<FreeCapacity>& machines, const Resources& need,
+                                   const IsEligible& is_eligible, const HasImage& has_image) {
+    std::vector<RankedMachine<BestFitRank>> ranked;
+    for (MachineIndex i = 0; i < machines.size(); ++i) {
+        const auto& machine = machines[i];
+        if (!machine.free.holds(need) || !machine.free_after_stops.holds(need)) continue;
+        if (!is_eligible(i)) continue;
+        ranked.push_back({{used_share(machine), has_image(i), -machine.total.cores}, i});
     }
-    return by_rank(std::move(ranked));
+    return sort_by_rank(std::move(ranked));
 }
 
-std::vector<std::size_t> future_fit(const std::vector<FreeCapacity>& rooms, const Resources& need,
-                                    const Allowed& allowed, const Earliest& earliest_s) {
-    std::vector<std::pair<double, std::size_t>> ranked;
-    for (std::size_t i = 0; i < rooms.size(); ++i) {
-        if (rooms[i].later.holds(need) && allowed(i)) ranked.emplace_back(-earliest_s(i), i);
+std::vector<MachineIndex> future_fit(const std::vector<FreeCapacity>& machines,
+                                     const Resources& need, const IsEligible& is_eligible,
+                                     const EarliestAvailable_s& earliest_available_s) {
+    std::vector<RankedMachine<double>> ranked;
+    for (MachineIndex i = 0; i < machines.size(); ++i) {
+        if (!machines[i].free_after_stops.holds(need) || !is_eligible(i)) continue;
+        ranked.push_back({-earliest_available_s(i), i});
     }
-    return by_rank(std::move(ranked));
+    return sort_by_rank(std::move(ranked));
 }
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/bin_packing.hpp
+++ b/src/scheduler/bin_packing.hpp
@@ -1,7 +1,8 @@
-// Pure placement: the order in which rooms are filled.
-//
-// Like tasks are decided as a class: once the fullest machine has taken one, it is fuller still, so
-// best fit fills the machines one after the other in a single order.
+/// \file
+/// Bin packing: the order in which machines are filled with the tasks of a job.
+///
+/// Tasks that require the same are decided as a class. Once the fullest machine has taken one, it
+/// is fuller still, so best fit fills the machines one after the other in a single order.
 #pragma once
 
 #include <cstddef>
@@ -12,26 +13,39 @@
 
 namespace dunebridge::scheduler {
 
-// What a machine has to give. `later` also counts what tasks that are being stopped will leave,
-// less what is promised to those they are stopped for.
+/// Position of a machine in the list of free capacities that is ranked.
+using MachineIndex = std::size_t;
+
+/// Free capacity of a machine.
 struct FreeCapacity {
     Resources total;
+    /// What no task takes now.
     Resources free;
-    Resources later;
+    /// What will be free once the tasks that are being stopped are gone, less what is set aside for
+    /// the tasks that they are stopped for.
+    Resources free_after_stops;
 };
 
-using Allowed = std::function<bool(std::size_t)>;
-using HasImage = std::function<bool(std::size_t)>;
-// The paper's earliest available time plus slack, in seconds from now; ranks, decides nothing.
-using Earliest = std::function<double(std::size_t)>;
-
-// The rooms that hold the need now, the fullest machine first; an image already there breaks ties.
-std::vector<std::size_t> best_fit(const std::vector<FreeCapacity>& rooms, const Resources& need,
-                                  const Allowed& allowed, const HasImage& has_image);
-
-// For tasks that no machine holds: the rooms in which they will fit once tasks that are already
-// being stopped are gone, the one with the earliest finish first.
-std::vector<std::size_t> future_fit(const std::vector<FreeCapacity>& rooms, const Resources& need,
-                                    const Allowed& allowed, const Earliest& earliest_s);
+/// Returns whether the job's constraints let a task run on the machine. Called only for machines
+/// whose capacity is sufficient.
+using IsEligible = std::function<bool(MachineIndex)>;
+/// Returns whether the machine has the task's container image already. Called only for machines
+/// that are ranked.
+using HasImage = std::function<bool(MachineIndex)>;
+/// Returns the time in seconds until the first of the machine's tasks is expected to end (the
+/// paper's earliest available time plus slack). It ranks machines and decides nothing else.
+using EarliestAvailable_s = std::function<double(MachineIndex)>;
+
+/// Ranks the machines that can take a task now, the fullest first.
+///
+/// Among equally full machines, one that has the image comes first, then the smaller one.
+std::vector<MachineIndex> best_fit(const std::vector<FreeCapacity>& machines, const Resources& need,
+                                   const IsEligible& is_eligible, const HasImage& has_image);
+
+/// Ranks the machines that can take a task once the tasks that are being stopped are gone, the one
+/// that becomes available earliest first. For tasks that fit no machine now.
+std::vector<MachineIndex> future_fit(const std::vector<FreeCapacity>& machines,
+                                     const Resources& need, const IsEligible& is_eligible,
+                                     const EarliestAvailable_s& earliest_available_s);
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -75,8 +75,8 @@
 void Scheduler::add_capacity(Machine& machine) {
     FreeCapacity room{machine.total, machine.total, {}};
     room.free.subtract(machine.used);
-    room.later = room.free;
-    room.later.add(machine.releasing);
+    room.free_after_stops = room.free;
+    room.free_after_stops.add(machine.releasing);
     machines_.push_back(&machine);
     capacities_.push_back(room);
 }
@@ -150,11 +150,11 @@
         [&](std::size_t i) { return machines_[i]->images.contains(spec.image); });
     for (const auto i : order) {
         auto& room = capacities_[i];
-        while (placed < most && room.free.holds(need) && room.later.holds(need) &&
+        while (placed < most && room.free.holds(need) && room.free_after_stops.holds(need) &&
                (!alone || allowed(job, *machines_[i]))) {
             state_.place(job, *machines_[i]);
             room.free.subtract(need);
-            room.later.subtract(need);
+            room.free_after_stops.subtract(need);
             ++placed;
         }
         if (placed == most) return placed;
@@ -242,8 +242,8 @@
     if (!alone && exhausted_.contains(shape_of(job))) return;
     const auto need = job.task_resources();
     const auto promise = [&](std::size_t i) {
-        while (tasks > 0 && capacities_[i].later.holds(need)) {
-            capacities_[i].later.subtract(need);
+        while (tasks > 0 && capacities_[i].free_after_stops.holds(need)) {
+            capacities_[i].free_after_stops.subtract(need);
             --tasks;
         }
     };
@@ -256,13 +256,13 @@
     for (const auto& [victim, i] : *victims_) {
         if (tasks == 0) return;
         if (victim->stopping || !allowed(job, *machines_[i])) continue;
-        auto later = capacities_[i].later;
+        auto later = capacities_[i].free_after_stops;
         later.add(victim->job->task_resources());
         if (!later.holds(need)) continue;
         victim->preempted = true;
         const bool saves = victim->job->spec.checkpoint_every_s > 0;
         state_.stop_task(*victim, saves ? victim->job->spec.checkpoint_s + 1 : 0);
-        capacities_[i].later = later;
+        capacities_[i].free_after_stops = later;
         promise(i);
         context_.log(sansio::LogLevel::info, "event=preempt victim={} for={} host={}",
                      victim->ref().str(), job.spec.id.get(), machines_[i]->host.get());
--- a/tests/bin_packing_test.cpp
+++ b/tests/bin_packing_test.cpp
@@ -15,7 +15,7 @@
 scheduler::FreeCapacity free_capacity(double total, double free) {
     scheduler::FreeCapacity capacity;
     capacity.total = {total, 0, total * 4};
-    capacity.free = capacity.later = {free, 0, free * 4};
+    capacity.free = capacity.free_after_stops = {free, 0, free * 4};
     return capacity;
 }
 const auto any = [](std::size_t) { return true; };
@@ -44,13 +44,13 @@
 
 TEST(BestFit, SkipsCapacityThatIsReservedForLater) {
     std::vector<scheduler::FreeCapacity> machines{free_capacity(8, 4)};
-    machines[0].later = {1, 0, 32};
+    machines[0].free_after_stops = {1, 0, 32};
     EXPECT_EQ(scheduler::best_fit(machines, {2, 0, 1}, any, none), Ranking{});
 }
 
 TEST(FutureFit, RanksTheMachineThatIsFreeEarliestFirst) {
     std::vector<scheduler::FreeCapacity> machines{free_capacity(8, 0), free_capacity(8, 0)};
-    for (auto& machine : machines) machine.later = {4, 0, 16};
+    for (auto& machine : machines) machine.free_after_stops = {4, 0, 16};
     const auto earliest = [](std::size_t i) { return i == 0 ? 9.0 : 3.0; };
     EXPECT_EQ(scheduler::future_fit(machines, {2, 0, 1}, any, earliest), (Ranking{1, 0}));
 }
