--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -164,12 +164,12 @@
     for (const auto index : record.preemption_protected) {
         if (index < size) job.tasks[index].preemption_protected = true;
     }
-    for (const auto& placed : record.placed) {
-        if (placed.index >= size) throw wire::DecodeError("index");
+    for (const auto& placed : record.placements) {
+        if (placed.task_index >= size) throw wire::DecodeError("index");
         // Where no rental names the machine any more, it counts all the same, until proved gone.
-        auto* machine = state_.find_machine(placed.host);
-        if (!machine) machine = &state_.create_machine(placed.host);
-        state_.restore_placement(job, placed.index, *machine, placed.attempt);
+        auto* machine = state_.find_machine(placed.machine);
+        if (!machine) machine = &state_.create_machine(placed.machine);
+        state_.restore_placement(job, placed.task_index, *machine, placed.attempt);
     }
 }
 
--- a/src/state/task_ranges.cpp
+++ b/src/state/task_ranges.cpp
@@ -15,16 +15,16 @@
 TaskRange default_range(const Job& job, std::uint32_t index, std::uint64_t format) {
     const auto task_count = static_cast<std::uint32_t>(job.tasks.size());
     const bool ranges = format >= config::kRangeFormat;
-    const auto most = ranges ? kTasksPerRange : kTasksPerChunk;
+    const auto most = ranges ? kInitialTasksPerRange : kTasksPerChunk;
     const auto from = index / most * most;
     const auto size = std::min(most, task_count - from);
     auto key =
-        ranges ? range_key(job.spec.id, from, size) : chunk_key(job.spec.id, from / kTasksPerChunk);
+        ranges ? task_range_key(job.spec.id, from, size) : chunk_key(job.spec.id, from / kTasksPerChunk);
     return {from, size, std::move(key)};
 }
 
 TaskRange make_range(const Job& job, std::uint32_t from, std::uint32_t size) {
-    return {from, size, range_key(job.spec.id, from, size)};
+    return {from, size, task_range_key(job.spec.id, from, size)};
 }
 
 // Ranges of the size given; the last may be smaller.
@@ -82,7 +82,7 @@
                                    std::size_t value_bytes) {
     for (std::uint32_t parts_wanted = 2;; parts_wanted *= 2) {
         // A digit of a record's sets stands for so many tasks.
-        constexpr std::uint32_t step = kTasksPerDigit;
+        constexpr std::uint32_t step = kTasksPerHexDigit;
         const auto least =
             std::max<std::uint32_t>(1, (range.size + parts_wanted - 1) / parts_wanted);
         const auto size = least >= step ? (least + step - 1) / step * step : least;
