--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "kv/keys.hpp"
+#include "state/task_ranges.hpp"
 
 namespace dunebridge::state {
 
@@ -13,175 +14,193 @@
 using kv::without_prefix;
 
 namespace {
-constexpr Millis kCommitEvery{30};
+constexpr Millis kSendInterval{30};
 // With little budget left, fewer and fuller transactions: a record is then written once for
 // several changes to it.
-constexpr Millis kCommitEveryWhenShort{200};
-constexpr Millis kCommitRetry{120};
-constexpr Millis kRefusedRetry{5000};
+constexpr Millis kSendIntervalWhenShort{200};
+constexpr Millis kRetryBackoff{120};
+constexpr Millis kTooLargeBackoff{5000};
 // The rest of the write budget is for submissions and cancellations at any node.
-constexpr double kWriteShare = 0.6;
+constexpr double kWriteBudgetShare = 0.6;
 }  // namespace
 
-ClusterStateWriter::ClusterStateWriter(sansio::Context& port, kv::KvClient& store,
+ClusterStateWriter::ClusterStateWriter(sansio::Context& context, kv::KvClient& kv_client,
                                        coordination::Election& election,
                                        ClusterState& cluster_state, const config::Config& config)
-    : context_(port),
+    : context_(context),
       election_(election),
       state_(cluster_state),
       config_(config),
-      writes_(kWriteShare * config.kv_limits.write_rps()),
-      transaction_(port, store, writes_) {}
+      write_budget_(kWriteBudgetShare * config.kv_limits.write_rps()),
+      retried_transaction_(context, kv_client, write_budget_) {}
 
 void ClusterStateWriter::reset() {
-    transaction_.abandon();
-    replacements_.clear();
+    retried_transaction_.abandon();
+    pending_splits_.clear();
+}
+
+// ---- sending ----
+
+bool ClusterStateWriter::may_send() const {
+    return state_.loaded() && !state_.committing() && !state_.dirty().empty() &&
+           election_.is_leader();
 }
 
 void ClusterStateWriter::flush() {
-    if (!state_.loaded() || state_.committing() || state_.dirty().empty()) return;
-    if (!election_.is_leader()) return;
+    if (!may_send()) return;
     const auto now = context_.now();
-    if (now < next_commit_) {
-        context_.request_wake(next_commit_);
+    if (now < next_send_at_) {
+        context_.request_wake(next_send_at_);
         return;
     }
-    const auto due = state_.dirty().due();
-    if (due.empty()) return;
-    const double budget = writes_.available(now);
-    if (budget < 1) {
-        next_commit_ = writes_.ready_at(1, now);
-        context_.request_wake(next_commit_);
+    const auto due_keys = state_.dirty().due();
+    if (due_keys.empty()) return;
+    if (write_budget_.available(now) < 1) {
+        next_send_at_ = write_budget_.ready_at(1, now);
+        context_.request_wake(next_send_at_);
         return;
     }
-    const auto most_writes =
-        std::min(config_.kv_limits.txn_ops(), static_cast<std::size_t>(budget));
-    TransactionBuilder builder(context_, state_, replacements_,
-                               {most_writes, config_.kv_limits, limits_lowered_},
+    build_and_send(due_keys);
+}
+
+TransactionLimits ClusterStateWriter::transaction_limits() {
+    const auto budget = static_cast<std::size_t>(write_budget_.available(context_.now()));
+    return {std::min(config_.kv_limits.txn_ops(), budget), config_.kv_limits, value_limit_reduced_};
+}
+
+void ClusterStateWriter::build_and_send(const std::vector<std::string>& due_keys) {
+    TransactionBuilder builder(context_, state_, pending_splits_, transaction_limits(),
                                election_.precondition());
-    for (const auto& key : due) {
-        if (!builder.add(key)) break;
+    for (const auto& key : due_keys) {
+        if (builder.add(key) == TransactionBuilder::AddResult::transaction_full) break;
     }
-    if (!builder.empty()) {
-        send(builder.take(), budget);
-        return;
+    if (builder.empty()) {
+        send_later(builder);
+    } else {
+        send(builder.take());
     }
-    const auto needed = builder.writes_needed();
-    if (needed > 0) next_commit_ = writes_.ready_at(static_cast<double>(needed), now);
-    if (builder.split_any() || needed > 0) context_.request_wake(std::max(next_commit_, now));
 }
 
-void ClusterStateWriter::send(StateTransaction commit, double budget) {
+// Parts of a split record are all that is due. They are sent together, once the budget allows it.
+void ClusterStateWriter::send_later(const TransactionBuilder& builder) {
     const auto now = context_.now();
-    writes_.take(static_cast<double>(commit.writes.size()), now);
+    const auto writes = builder.writes_needed();
+    if (writes > 0) next_send_at_ = write_budget_.ready_at(static_cast<double>(writes), now);
+    if (writes > 0 || builder.has_split_a_record()) {
+        context_.request_wake(std::max(next_send_at_, now));
+    }
+}
+
+void ClusterStateWriter::send(StateTransaction transaction) {
+    const auto now = context_.now();
+    const double full_budget = kWriteBudgetShare * config_.kv_limits.write_rps();
+    const bool is_short = write_budget_.available(now) < full_budget / 2;
+    next_send_at_ = now + (is_short ? kSendIntervalWhenShort : kSendInterval);
+    write_budget_.take(static_cast<double>(transaction.writes.size()), now);
     state_.set_committing(true);
-    const bool is_short = budget < kWriteShare * config_.kv_limits.write_rps() / 2;
-    next_commit_ = now + (is_short ? kCommitEveryWhenShort : kCommitEvery);
-    auto preconditions = std::move(commit.preconditions);
-    auto writes = std::move(commit.writes);
-    transaction_.send(std::move(preconditions), std::move(writes),
-                      [this, commit = std::move(commit),
-                       generation = state_.generation()](const kv::TransactionResult& result) {
-                          if (state_.current(generation)) finish(commit, result);
-                      });
+    auto preconditions = std::move(transaction.preconditions);
+    auto writes = std::move(transaction.writes);
+    const auto on_outcome = [this, transaction = std::move(transaction),
+                             generation =
+                                 state_.generation()](const kv::TransactionResult& result) {
+        if (state_.current(generation)) handle_outcome(transaction, result);
+    };
+    retried_transaction_.send(std::move(preconditions), std::move(writes), on_outcome);
 }
 
-void ClusterStateWriter::finish(const StateTransaction& commit,
-                                const kv::TransactionResult& result) {
+// ---- outcomes ----
+
+void ClusterStateWriter::handle_outcome(const StateTransaction& transaction,
+                                        const kv::TransactionResult& result) {
     state_.set_committing(false);
     if (result.outcome == Outcome::ok) {
-        applied(commit, result.rev);
-        return;
-    }
-    if (result.outcome == Outcome::unknown) {
-        // It may be applied at any later time. A new term over the own key fences it off.
+        handle_committed(transaction, result.rev);
+    } else if (result.outcome == Outcome::unknown) {
+        // It may be applied at any later time. A new term over the own leader key fences it off.
         context_.log(sansio::LogLevel::info, "event=transaction_outcome_unknown term={}",
                      election_.term().get());
         election_.renew_term();
-        return;
+    } else {
+        handle_not_committed(transaction, result);
     }
+}
+
+void ClusterStateWriter::handle_not_committed(const StateTransaction& transaction,
+                                              const kv::TransactionResult& result) {
     for (auto& [host, machine] : state_.machines()) {
         for (auto& [key, placement] : machine.tasks) placement.in_commit = false;
     }
     if (result.outcome == Outcome::conflict) {
-        conflict(result);
+        handle_conflict(result);
     } else if (result.outcome == Outcome::malformed) {
-        refused_as_too_large(commit);
+        handle_too_large(transaction);
     } else {
-        next_commit_ = context_.now() + kCommitRetry + context_.jitter(kCommitRetry);
+        next_send_at_ = context_.now() + kRetryBackoff + context_.jitter(kRetryBackoff);
     }
 }
 
-// Larger than the service takes now. What is sent from here on fits the smaller limits; were it
-// refused all the same, it is not repeated at once.
-void ClusterStateWriter::refused_as_too_large(const StateTransaction& commit) {
-    const bool first = !limits_lowered_;
-    limits_lowered_ = true;
+// Larger than the key-value store accepts now. What is sent from here on fits the smaller limits;
+// were it refused all the same, it is not repeated at once.
+void ClusterStateWriter::handle_too_large(const StateTransaction& transaction) {
     context_.log(sansio::LogLevel::error, "event=transaction_too_large writes={} bytes={}",
-                 commit.keys.size(), commit.bytes);
-    next_commit_ = context_.now() + (first ? kCommitRetry : kRefusedRetry);
+                 transaction.changes.size(), transaction.bytes);
+    const auto backoff = value_limit_reduced_ ? kTooLargeBackoff : kRetryBackoff;
+    value_limit_reduced_ = true;
+    next_send_at_ = context_.now() + backoff;
 }
 
-void ClusterStateWriter::applied(const StateTransaction& commit, KeyRevision revision) {
-    for (const auto& original : commit.originals) replacements_.committed(original);
-    for (const auto& [key, set] : commit.keys) {
-        state_.dirty().committed(key, commit.version);
+void ClusterStateWriter::handle_committed(const StateTransaction& transaction,
+                                          KeyRevision revision) {
+    for (const auto& key : transaction.split_records) pending_splits_.mark_committed(key);
+    for (const auto& [key, removed] : transaction.changes) {
+        state_.dirty().committed(key, transaction.state_version);
         if (key.starts_with(kTerminalPrefix)) {
-            end_committed(JobId(without_prefix(key, kTerminalPrefix)));
+            handle_committed_terminal_record(JobId(without_prefix(key, kTerminalPrefix)));
             continue;
         }
-        if (set) {
-            state_.stored().set(key, revision);
-        } else {
+        if (removed) {
             state_.stored().erase(key);
+        } else {
+            state_.stored().set(key, revision);
         }
-        if (key.starts_with(kProgressPrefix)) progress_committed(key);
+        if (key.starts_with(kProgressPrefix)) handle_committed_progress(key);
     }
 }
 
-// Its placements that were in the transaction may be acted on.
-void ClusterStateWriter::progress_committed(const std::string& key) {
-    const auto [job, range] = find_recorded_range(state_, key);
-    if (!range) return;
-    bool more_to_start = false;
-    for (auto i = range->from; i < range->from + range->size; ++i) {
-        auto* placement = job->tasks[i].at;
-        if (!placement || placement->committed) continue;
-        if (!placement->in_commit) {
-            more_to_start = true;
-            continue;
+// The placements that the record holds may be acted on. Those that were made after it was written
+// have to follow at once; without any, what is left of the record's changes lets nothing start.
+void ClusterStateWriter::handle_committed_progress(const std::string& key) {
+    const auto tasks = find_task_range(state_.jobs(), key);
+    if (!tasks) return;
+    bool has_uncommitted = false;
+    for_each_placement(tasks, [this, &has_uncommitted](Placement& placement) {
+        if (placement.committed) return;
+        if (!placement.in_commit) {
+            has_uncommitted = true;
+            return;
         }
-        placement->in_commit = false;
-        placement->committed = true;
-        state_.request_commands(*placement->machine);
-    }
-    if (!more_to_start) state_.dirty().lower_to_cadence(key);
+        placement.in_commit = false;
+        placement.committed = true;
+        state_.request_commands(*placement.machine);
+    });
+    if (!has_uncommitted) state_.dirty().lower_to_cadence(key);
 }
 
-void ClusterStateWriter::end_committed(const JobId& id) {
+void ClusterStateWriter::handle_committed_terminal_record(const JobId& id) {
     Job* job = state_.find_job(id);
     if (!job) return;
     job->state = JobState::terminal;
     job->terminal_since = context_.now();
-    const auto how = end_of(*job);
-    if (how == wire::JobPhase::done) {
+    const auto phase = terminal_phase(*job);
+    if (phase == wire::JobPhase::done) {
         context_.log(sansio::LogLevel::info, "event=job_done id={} term={}", id.get(),
                      election_.term().get());
     }
-    state_.ended(id, how);
+    state_.ended(id, phase);
 }
 
-void ClusterStateWriter::conflict(const kv::TransactionResult& result) {
-    bool explained = false;
-    for (const auto& key : result.failed) {
-        if (!key.starts_with(kTerminalPrefix)) continue;
-        // The user's cancellation came first.
-        explained = true;
-        const JobId id(without_prefix(key, kTerminalPrefix));
-        state_.mark_cancelled(id, context_.wall_ms());
-        state_.dependencies().read_end(id);
-    }
-    if (explained) return;
+void ClusterStateWriter::handle_conflict(const kv::TransactionResult& result) {
+    if (apply_cancellations(result.failed)) return;
     context_.log(sansio::LogLevel::info, "event=transaction_conflict term={} key={} of={}",
                  election_.term().get(), result.failed.empty() ? "" : result.failed.front(),
                  result.failed.size());
@@ -189,4 +208,18 @@
     election_.renew_term();
 }
 
+// Terminal records that exist already are users' cancellations that came first. Whether there are
+// any among the keys of the preconditions that failed.
+bool ClusterStateWriter::apply_cancellations(const std::vector<std::string>& failed_keys) {
+    bool found = false;
+    for (const auto& key : failed_keys) {
+        if (!key.starts_with(kTerminalPrefix)) continue;
+        found = true;
+        const JobId id(without_prefix(key, kTerminalPrefix));
+        state_.mark_cancelled(id, context_.wall_ms());
+        state_.dependencies().read_end(id);
+    }
+    return found;
+}
+
 }  // namespace dunebridge::state
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -6,7 +6,6 @@
 #include "config/record_format.hpp"
 #include "kv/keys.hpp"
 #include "state/record_codec.hpp"
-#include "state/task_ranges.hpp"
 
 namespace dunebridge::state {
 
@@ -16,200 +15,227 @@
 using kv::without_prefix;
 
 namespace {
-// After the record of a job's tasks has grown too large for another placement.
-constexpr Millis kPostponed{2000};
-// A transaction's bytes, of the 64 KiB that the state service takes.
-constexpr std::size_t kTransactionBytes = std::size_t{60} * 1024;
-// A record's part of a transaction besides its key and value, at most.
+// How long a job gets no placements after the record of its tasks has grown too large for another.
+constexpr Millis kBackoffAfterUndo{2000};
+// Size of a transaction, out of the 64 KiB that the key-value store accepts.
+constexpr std::size_t kMaxTransactionBytes = std::size_t{60} * 1024;
+// What a record adds to a transaction besides its key and value, at most.
 constexpr std::size_t kOverheadBytes = 192;
+}  // namespace
 
-std::size_t size_in_transaction(const std::string& key,
-                                const std::optional<kv::PackedRecord>& record) {
-    return kOverheadBytes + key.size() + (record ? record->json_size : 0);
+wire::JobPhase terminal_phase(const Job& job) {
+    return job.cancelled_by_dependency ? wire::JobPhase::cancelled : wire::JobPhase::done;
 }
-}  // namespace
 
-RecordedRange find_recorded_range(ClusterState& cluster_state, const std::string& progress_key) {
-    const auto name = without_prefix(progress_key, kProgressPrefix);
-    auto* job = cluster_state.find_job(JobId(name.substr(0, name.rfind('/'))));
-    if (!job) return {};
-    return {job, find_range(*job, progress_key)};
+std::size_t TransactionBuilder::Record::bytes_in_transaction() const {
+    return kOverheadBytes + key.size() + (value ? value->json_size : 0);
 }
 
-wire::JobPhase end_of(const Job& job) {
-    return job.cancelled_by_dependency ? wire::JobPhase::cancelled : wire::JobPhase::done;
+TransactionBuilder::TransactionBuilder(sansio::Context& context, ClusterState& cluster_state,
+                                       PendingSplits& pending_splits, TransactionLimits limits,
+                                       wire::Precondition leader_precondition)
+    : context_(context), state_(cluster_state), pending_splits_(pending_splits), limits_(limits) {
+    transaction_.state_version = cluster_state.version();
+    transaction_.preconditions.push_back(std::move(leader_precondition));
 }
 
-TransactionBuilder::TransactionBuilder(sansio::Context& port, ClusterState& cluster_state,
-                                       RecordReplacements& replacements, TransactionLimits limits,
-                                       wire::Precondition leads)
-    : context_(port), state_(cluster_state), replacements_(replacements), limits_(limits) {
-    commit_.version = cluster_state.version();
-    commit_.preconditions.push_back(std::move(leads));
+// ---- encoding ----
+
+TransactionBuilder::Record TransactionBuilder::encode_record(const std::string& key) const {
+    Record record{key, {}, std::nullopt};
+    if (!key.starts_with(kProgressPrefix)) {
+        record.value = encode_value(key);
+        return record;
+    }
+    record.tasks = find_task_range(state_.jobs(), key);
+    if (record.tasks) record.value = encode_progress(*record.tasks.job, *record.tasks.range);
+    return record;
 }
 
-// The record as it is to be written; none if it is to be removed.
-std::optional<TransactionBuilder::Record> TransactionBuilder::encode_record(
-    const std::string& key) {
-    if (key.starts_with(kProgressPrefix)) {
-        const auto [job, range] = find_recorded_range(state_, key);
-        if (range) return encode_progress(*job, *range);
-    } else if (key == kv::kFormatMark) {
+// The value of a record other than progress; none if it is to be removed.
+std::optional<kv::PackedRecord> TransactionBuilder::encode_value(const std::string& key) const {
+    // Its key begins with the prefix of scale-outs: it has to be looked for first.
+    if (key == kv::kFormatMark) {
         if (state_.format() < config::kRangeFormat) return std::nullopt;
         return encode_format_mark(state_.format());
-    } else if (key.starts_with(kScaleOutPrefix)) {
+    }
+    if (key.starts_with(kScaleOutPrefix)) {
         const auto it = state_.rentals().find(without_prefix(key, kScaleOutPrefix));
-        if (it != state_.rentals().end()) return encode_scale_out(it->second);
-    } else if (key.starts_with(kTerminalPrefix)) {
+        if (it == state_.rentals().end()) return std::nullopt;
+        return encode_scale_out(it->second);
+    }
+    if (key.starts_with(kTerminalPrefix)) {
         const auto* job = state_.find_job(JobId(without_prefix(key, kTerminalPrefix)));
         if (!job) return std::nullopt;
-        return encode(kv::TerminalRecord{end_of(*job), job->spec.task_count, context_.wall_ms()});
+        return encode(
+            kv::TerminalRecord{terminal_phase(*job), job->spec.task_count, context_.wall_ms()});
     }
     return std::nullopt;
 }
 
-bool TransactionBuilder::add(const std::string& key) {
-    const auto original = replacements_.original_of(key);
-    const bool replaced = replacements_.is_original(original);
-    const auto& added = commit_.originals;
-    if (replaced && std::find(added.begin(), added.end(), original) != added.end()) return true;
+// ---- adding records ----
+
+TransactionBuilder::AddResult TransactionBuilder::add(const std::string& key) {
+    const auto split_record = pending_splits_.split_record_of(key);
+    const bool is_split = pending_splits_.is_split(split_record);
+    if (is_split && has_added_parts_of(split_record)) return AddResult::handled;
     auto record = encode_record(key);
-    if (!record && !state_.stored().contains(key) && !replaced) {
+    if (!record.value && !state_.stored().contains(key) && !is_split) {
         state_.dirty().erase(key);
-        return true;
+        return AddResult::handled;
     }
-    if (record && record->json_size > value_limit() && !fit_to_limit(key, record)) return true;
-    if (replaced) return add_replacement(original);
-    if (commit_.writes.size() >= limits_.writes) return false;
-    const auto bytes = commit_.bytes + size_in_transaction(key, record);
-    if (bytes > kTransactionBytes && !commit_.writes.empty()) return false;
-    add_record(key, std::move(record));
-    return true;
+    if (record.value && record.value->json_size > split_threshold()) {
+        if (split(record) || !shrink_to_limit(record)) return AddResult::handled;
+    }
+    if (is_split) return add_parts_of(split_record);
+    if (!has_room_for(record)) return AddResult::transaction_full;
+    add_to_transaction(std::move(record));
+    return AddResult::handled;
 }
 
-// The size at which records are split; in the older format they cannot be.
-std::size_t TransactionBuilder::value_limit() const {
-    return state_.format() >= config::kRangeFormat ? limits_.state.value_bytes()
-                                                   : limits_.state.value_bytes_now(limits_.lowered);
+bool TransactionBuilder::has_room_for(const Record& record) const {
+    if (transaction_.writes.size() >= limits_.max_writes) return false;
+    // A transaction of one record is sent whatever its size.
+    return transaction_.writes.empty() ||
+           transaction_.bytes + record.bytes_in_transaction() <= kMaxTransactionBytes;
 }
 
-// A record that is too large is split, or grows less. False if it can't be written now.
-bool TransactionBuilder::fit_to_limit(const std::string& key, std::optional<Record>& record) {
-    if (split(key)) return false;
-    postpone_placements(key, record);
-    if (!record || record->json_size <= limits_.state.value_bytes_now(limits_.lowered)) return true;
-    // It stays as it was; what it adds is never acted on.
-    context_.log(sansio::LogLevel::error, "event=record_too_large key={} bytes={}", key,
-                 record->json_size);
-    return false;
+bool TransactionBuilder::has_added_parts_of(const std::string& split_record) const {
+    const auto& added = transaction_.split_records;
+    return std::find(added.begin(), added.end(), split_record) != added.end();
 }
 
-// A range whose record has grown too large becomes several, each of which fits.
-bool TransactionBuilder::split(const std::string& key) {
-    const auto [job, range] = find_recorded_range(state_, key);
-    if (state_.format() < config::kRangeFormat || !range || range->size < 2) return false;
-    // One that is itself to take the place of another, in the same transaction, does not go first.
-    const auto original = replacements_.original_of(key);
-    const auto parts = split_range(*job, *range, limits_.state.value_bytes());
-    const auto writes = replacements_.parts_of(original).size() + parts.size() + 1;
-    if (writes > limits_.state.txn_ops()) return false;
-    auto& dirty = state_.dirty();
-    const auto* found = dirty.find(key);
-    const auto waiting = found ? *found : DirtyRecord{0, 0, CommitUrgency::batched, context_.now()};
-    replacements_.replace(original, key, parts);
-    replace_range(*job, key, parts);
-    for (const auto& part : parts) dirty.mark_in_place_of(waiting, part.key);
-    if (key != original) {
-        dirty.erase(key);
-    } else {
-        dirty.mark(original, waiting.urgency);
+// Adds all parts of a split record and the removal of the record itself, or none of it.
+TransactionBuilder::AddResult TransactionBuilder::add_parts_of(const std::string& split_record) {
+    Record removal{split_record, {}, std::nullopt};
+    std::size_t bytes = removal.bytes_in_transaction();
+    std::vector<Record> records;
+    for (const auto& key : pending_splits_.parts_of(split_record)) {
+        records.push_back(encode_record(key));
+        if (records.back().value) bytes += records.back().bytes_in_transaction();
     }
-    context_.log(sansio::LogLevel::info, "event=record_split key={} parts={}", key, parts.size());
-    split_any_ = true;
-    return true;
+    records.push_back(std::move(removal));
+    if (transaction_.writes.size() + records.size() > limits_.max_writes ||
+        transaction_.bytes + bytes > kMaxTransactionBytes) {
+        if (transaction_.writes.empty()) writes_needed_ = records.size();
+        return AddResult::transaction_full;
+    }
+    transaction_.split_records.push_back(split_record);
+    for (auto& record : records) add_to_transaction(std::move(record));
+    return AddResult::handled;
 }
 
-// What cannot be recorded is not done: placements that make the record too large wait again.
-void TransactionBuilder::postpone_placements(const std::string& key,
-                                             std::optional<Record>& record) {
-    const auto [job, range] = find_recorded_range(state_, key);
-    const auto limit = limits_.state.value_bytes_now(limits_.lowered);
-    while (range && record && record->json_size > limit) {
-        std::vector<Placement*> open;
-        for (auto i = range->from; i < range->from + range->size; ++i) {
-            auto* placement = job->tasks[i].at;
-            if (placement && !placement->committed && !placement->in_commit) {
-                open.push_back(placement);
-            }
-        }
-        if (open.empty()) break;
-        const auto half = (open.size() + 1) / 2;
-        for (std::size_t i = 0; i < half; ++i) {
-            state_.remove(*open[i]->machine, {job->sequence, open[i]->index});
-        }
-        job->backoff_until = context_.now() + kPostponed;
-        record = encode_progress(*job, *range);
-    }
+void TransactionBuilder::add_to_transaction(Record record) {
+    add_preconditions(record);
+    transaction_.bytes += record.bytes_in_transaction();
+    transaction_.changes.push_back({record.key, !record.value});
+    if (!record.value && !state_.stored().contains(record.key)) return;  // there is none to remove
+    auto packed = record.value ? std::optional(std::move(record.value->packed)) : std::nullopt;
+    transaction_.writes.push_back({std::move(record.key), std::move(packed), std::nullopt});
 }
 
-// All records that take the original's place, or none.
-bool TransactionBuilder::add_replacement(const std::string& original) {
-    const auto parts = replacements_.parts_of(original);
-    std::size_t bytes = size_in_transaction(original, std::nullopt);
-    for (const auto& key : parts) {
-        const auto record = encode_record(key);
-        if (record) bytes += size_in_transaction(key, record);
+// Placements may only be recorded for open jobs, and a job becomes terminal only once.
+void TransactionBuilder::add_preconditions(const Record& record) {
+    if (record.key.starts_with(kTerminalPrefix)) {
+        require_open_job(record.key);
+        return;
     }
-    const auto writes = parts.size() + 1;
-    const bool fits = commit_.writes.size() + writes <= limits_.writes &&
-                      commit_.bytes + bytes <= kTransactionBytes;
-    if (!fits) {
-        if (commit_.writes.empty()) writes_needed_ = writes;
-        return false;
+    if (record.value && collect_new_placements(record)) {
+        require_open_job(kv::terminal_key(record.tasks.job->spec.id));
+    }
+    transaction_.preconditions.push_back({record.key, state_.stored().revision(record.key)});
+}
+
+// The job must not have a terminal record.
+void TransactionBuilder::require_open_job(const std::string& terminal_key) {
+    if (guarded_terminal_keys_.insert(terminal_key).second) {
+        transaction_.preconditions.push_back({terminal_key, KeyRevision()});
     }
-    commit_.originals.push_back(original);
-    for (const auto& key : parts) add_record(key, encode_record(key));
-    add_record(original, std::nullopt);
-    return true;
 }
 
 // Whether the record holds placements that are not committed; they count as being committed with
 // the transaction.
-bool TransactionBuilder::records_new_placements(const std::string& key) {
-    const auto [job, range] = find_recorded_range(state_, key);
-    const auto before = placements_.size();
-    for (auto i = range->from; i < range->from + range->size; ++i) {
-        auto* placement = job->tasks[i].at;
-        if (placement && !placement->committed) placements_.push_back(placement);
-    }
-    return placements_.size() > before;
+bool TransactionBuilder::collect_new_placements(const Record& record) {
+    const auto before = new_placements_.size();
+    for_each_placement(record.tasks, [this](Placement& placement) {
+        if (!placement.committed) new_placements_.push_back(&placement);
+    });
+    return new_placements_.size() > before;
 }
 
-// The job must not have ended.
-void TransactionBuilder::add_precondition_on_end(const std::string& key) {
-    if (ends_.insert(key).second) commit_.preconditions.push_back({key, KeyRevision()});
+StateTransaction TransactionBuilder::take() {
+    for (auto* placement : new_placements_) placement->in_commit = true;
+    return std::move(transaction_);
 }
 
-void TransactionBuilder::add_record(const std::string& key, std::optional<Record> record) {
-    const auto& stored = state_.stored();
-    // Placements may only be recorded for jobs without an end, and ends only once.
-    if (key.starts_with(kTerminalPrefix)) {
-        add_precondition_on_end(key);
-    } else if (key.starts_with(kProgressPrefix) && record && records_new_placements(key)) {
-        add_precondition_on_end(kv::terminal_key(find_recorded_range(state_, key).job->spec.id));
+// ---- records that are too large ----
+
+// Records of the older format cannot be split. They may grow up to what is accepted now; those of
+// the newer format are split early enough to fit any limit to come.
+std::size_t TransactionBuilder::split_threshold() const {
+    return state_.format() >= config::kRangeFormat ? limits_.kv.value_bytes()
+                                                   : limits_.max_value_bytes();
+}
+
+// Divides a record's tasks among several records, each of which fits. False if that can't be done.
+bool TransactionBuilder::split(const Record& record) {
+    const auto& [job, range] = record.tasks;
+    if (state_.format() < config::kRangeFormat || !range || range->size < 2) return false;
+    const auto parts = split_range(*job, *range, limits_.kv.value_bytes());
+    // All of them must fit one transaction. A part that is not committed itself stays with the
+    // record that it is a part of.
+    const auto split_record = pending_splits_.split_record_of(record.key);
+    const auto writes = pending_splits_.parts_of(split_record).size() + parts.size() + 1;
+    if (writes > limits_.kv.txn_ops()) return false;
+    replace_by_parts(record, split_record, parts);
+    context_.log(sansio::LogLevel::info, "event=record_split key={} parts={}", record.key,
+                 parts.size());
+    has_split_a_record_ = true;
+    return true;
+}
+
+void TransactionBuilder::replace_by_parts(const Record& record, const std::string& split_record,
+                                          const std::vector<TaskRange>& parts) {
+    auto& dirty = state_.dirty();
+    const auto* found = dirty.find(record.key);
+    const auto unsplit = found ? *found : DirtyRecord{0, 0, CommitUrgency::batched, context_.now()};
+    pending_splits_.split(split_record, record.key, parts);
+    replace_range(*record.tasks.job, record.key, parts);
+    for (const auto& part : parts) dirty.mark_in_place_of(unsplit, part.key);
+    if (record.key != split_record) {
+        dirty.erase(record.key);
+    } else {
+        dirty.mark(split_record, unsplit.urgency);
     }
-    if (!key.starts_with(kTerminalPrefix))
-        commit_.preconditions.push_back({key, stored.revision(key)});
-    commit_.bytes += size_in_transaction(key, record);
-    commit_.keys.push_back({key, record.has_value()});
-    if (!record && !stored.contains(key)) return;  // nothing is there to be removed
-    auto value = record ? std::optional(std::move(record->packed)) : std::nullopt;
-    commit_.writes.push_back({key, std::move(value), std::nullopt});
 }
 
-StateTransaction TransactionBuilder::take() {
-    for (auto* placement : placements_) placement->in_commit = true;
-    return std::move(commit_);
+// Undoes placements until the record fits what is accepted now. False if it is too large all the
+// same: it stays as it was stored, and what it adds is never acted on.
+bool TransactionBuilder::shrink_to_limit(Record& record) {
+    const auto limit = limits_.max_value_bytes();
+    while (record.tasks && record.value->json_size > limit) {
+        if (!undo_half_of_new_placements(record.tasks)) break;
+        record.value = encode_progress(*record.tasks.job, *record.tasks.range);
+    }
+    if (record.value->json_size <= limit) return true;
+    context_.log(sansio::LogLevel::error, "event=record_too_large key={} bytes={}", record.key,
+                 record.value->json_size);
+    return false;
+}
+
+// Their tasks wait again. False if there is no placement that may be undone.
+bool TransactionBuilder::undo_half_of_new_placements(const JobTaskRange& tasks) {
+    std::vector<Placement*> undoable;
+    for_each_placement(tasks, [&undoable](Placement& placement) {
+        if (!placement.committed && !placement.in_commit) undoable.push_back(&placement);
+    });
+    if (undoable.empty()) return false;
+    undoable.resize((undoable.size() + 1) / 2);
+    for (auto* placement : undoable) {
+        state_.remove(*placement->machine, {tasks.job->sequence, placement->index});
+    }
+    tasks.job->backoff_until = context_.now() + kBackoffAfterUndo;
+    return true;
 }
 
 }  // namespace dunebridge::state
