--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -34,7 +34,7 @@
 class JobService {
   public:
     // How far an open job is by the leader's own ledger or its heartbeats, for display.
-    using ProgressSource = std::function<coordination::Progress(const JobId&)>;
+    using ProgressSource = std::function<coordination::JobProgress(const JobId&)>;
     // Hands a committed cancellation to whoever must know it before its user is answered, and goes
     // on.
     using BroadcastCancellation = std::function<void(const JobId&, std::function<void()> then)>;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -78,11 +78,11 @@
     }
     context_.run_timers();
     if (peer_monitor_.highest_term() > election_.term())
-        election_.depose(peer_monitor_.highest_term());
+        election_.observe_newer_term(peer_monitor_.highest_term());
     // Where the state service serves others but not this node, another should lead.
-    kv_client_.tick();
+    kv_client_.probe_if_idle();
     election_.set_eligible(kv_client_.reachable());
-    election_.tick();
+    election_.poll();
     handle_leadership_change();
     provisioner_.tick_machine_types();
     const bool upkeep = now >= next_upkeep_;
@@ -99,7 +99,7 @@
         writer_.flush();
     }
     jobs_.tick();
-    peer_monitor_.tick();
+    peer_monitor_.send_due_heartbeats();
     context_.request_wake(now + kTick);
     return context_.take();
 }
@@ -113,11 +113,11 @@
         provisioner_.reset();
         writer_.reset();
         loader_.load();
-        peer_monitor_.send_soon();
+        peer_monitor_.broadcast_soon();
     } else if (!leads_now && led_) {
         state_.clear();
         writer_.reset();
-        peer_monitor_.send_soon();
+        peer_monitor_.broadcast_soon();
     }
     led_ = leads_now;
 }
@@ -182,7 +182,7 @@
     }
     try {
         const auto doc = wire::Document::need(request.body);
-        peer_monitor_.record_heartbeat(coordination::decode_heartbeat(doc.root()));
+        peer_monitor_.record_heartbeat(coordination::decode_peer_heartbeat(doc.root()));
         context_.answer(request.id, 200, coordination::encode(heartbeat()));
     } catch (const wire::DecodeError& e) {
         context_.log(sansio::LogLevel::error, "event=invalid_peer_heartbeat error=\"{}\"",
@@ -217,7 +217,7 @@
 
 // A committed end is true whoever reports it: the leader stops the tasks without reading it.
 void Controller::cancelled(const JobId& id) {
-    if (!cancellations_.add(id) || !leads()) return;
+    if (!cancellations_.append(id) || !leads()) return;
     cancel_in_state(id);
 }
 
@@ -252,7 +252,7 @@
 
 // Those that were reported before the ledger was loaded.
 void Controller::apply_cancellations() {
-    for (const auto& id : cancellations_.kept().jobs) cancel_in_state(id);
+    for (const auto& id : cancellations_.retained().jobs) cancel_in_state(id);
 }
 
 // Jobs that failed everywhere under the leader before are not tried at full width once more. It is
@@ -284,26 +284,26 @@
 // would only lengthen the outage for the users. Where others are served, they should take over.
 bool Controller::ready() const {
     if (machine_types_.empty()) return false;
-    return kv_client_.reachable() || !peer_monitor_.state_reachable_elsewhere();
+    return kv_client_.reachable() || !peer_monitor_.kv_reachable_by_a_peer();
 }
 
 // The newest format of the ledger that every controller has shown to know.
 std::uint64_t Controller::common_record_format() const {
     auto format = config_.newest_record_format;
-    while (format > config::kChunkFormat && !peer_monitor_.all_know(format)) --format;
+    while (format > config::kChunkFormat && !peer_monitor_.all_peers_support(format)) --format;
     return format;
 }
 
 // ---- peers ----
 
-coordination::Heartbeat Controller::heartbeat() {
-    coordination::Heartbeat heartbeat;
+coordination::PeerHeartbeat Controller::heartbeat() {
+    coordination::PeerHeartbeat heartbeat;
     heartbeat.node = config_.name;
     heartbeat.leads = leads();
     heartbeat.term = election_.is_leader() ? election_.term() : peer_monitor_.highest_term();
-    heartbeat.state_reachable = kv_client_.reachable();
+    heartbeat.kv_reachable = kv_client_.reachable();
     heartbeat.format = config_.newest_record_format;
-    heartbeat.cancellations = cancellations_.kept();
+    heartbeat.cancellations = cancellations_.retained();
     if (!heartbeat.leads) return heartbeat;
     own_faulty_jobs_ = faulty_jobs();
     // Written only once every controller knows this version.
@@ -317,14 +317,14 @@
     return heartbeat;
 }
 
-coordination::Progress Controller::progress(const JobId& id) {
+coordination::JobProgress Controller::progress(const JobId& id) {
     if (leads()) {
         const auto* job = state_.find_job(id);
-        return job ? coordination::Progress{id, job->done, job->running}
-                   : coordination::Progress{id, 0, 0};
+        return job ? coordination::JobProgress{id, job->done, job->running}
+                   : coordination::JobProgress{id, 0, 0};
     }
     const auto it = peer_monitor_.progress().find(id);
-    return it == peer_monitor_.progress().end() ? coordination::Progress{id, 0, 0} : it->second;
+    return it == peer_monitor_.progress().end() ? coordination::JobProgress{id, 0, 0} : it->second;
 }
 
 // ---- placement ----
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -79,8 +79,8 @@
     void handle_leadership_change();
     void schedule();
     std::uint64_t common_record_format() const;
-    coordination::Heartbeat heartbeat();
-    coordination::Progress progress(const JobId& id);
+    coordination::PeerHeartbeat heartbeat();
+    coordination::JobProgress progress(const JobId& id);
 
     const config::Config config_;
     sansio::Context context_;
--- a/src/controller/leadership_guard.cpp
+++ b/src/controller/leadership_guard.cpp
@@ -70,7 +70,7 @@
 // What it knows is what it has read from the state service, or what every peer has acknowledged.
 bool LeadershipGuard::may_renew_leases(Instant terminal_records_read_at) {
     const auto known = std::max(terminal_records_read_at,
-                                peer_monitor_.acknowledged_until(terminal_records_read_at));
+                                peer_monitor_.cancellations_known_until(terminal_records_read_at));
     if (context_.now() - known <= max_cancellation_staleness_) return true;
     context_.log(sansio::LogLevel::error, "event=cancellations_stale term={} since_s={:.1f}",
                  election_.term().get(), to_seconds(context_.now() - known));
--- a/src/coordination/cancellation_log.cpp
+++ b/src/coordination/cancellation_log.cpp
@@ -14,14 +14,14 @@
     part_.incarnation = port.random() | 1u;
 }
 
-bool CancellationLog::add(const JobId& id) {
+bool CancellationLog::append(const JobId& id) {
     if (!known_.try_emplace(id, context_.now()).second) return false;
     part_.jobs.push_back(id);
     since_.push_back(context_.now());
     return true;
 }
 
-const CancellationLogPart& CancellationLog::kept() {
+const CancellationLogSegment& CancellationLog::retained() {
     std::size_t over = part_.jobs.size() > kMaxKept ? part_.jobs.size() - kMaxKept : 0;
     const auto keep = config_.cancellation_deadline * 3 / 2;
     while (over < since_.size() && context_.now() - since_[over] > keep) ++over;
--- a/src/coordination/cancellation_log.hpp
+++ b/src/coordination/cancellation_log.hpp
@@ -18,7 +18,7 @@
 namespace dunebridge::coordination {
 
 // A part of a node's log: what follows one another from `first` on, up to its end.
-struct CancellationLogPart {
+struct CancellationLogSegment {
     std::uint64_t incarnation = 0;  // of the process that keeps the log; 0: it keeps none
     std::uint64_t first = 1;        // number of the first of `jobs`
     std::vector<JobId> jobs;
@@ -31,14 +31,14 @@
     CancellationLog(sansio::Context& port, const config::Config& config);
 
     // Returns whether it was not known.
-    bool add(const JobId& id);
+    bool append(const JobId& id);
     // What is kept of the log: ends that no leader can be held to any more are dropped.
-    const CancellationLogPart& kept();
+    const CancellationLogSegment& retained();
 
   private:
     sansio::Context& context_;
     const config::Config& config_;
-    CancellationLogPart part_;
+    CancellationLogSegment part_;
     std::deque<Instant> since_;  // of each job in part_
     // When each was learnt. Kept for longer than the log, as peers' logs drop theirs later: they
     // must not count as new again here, and then there, for ever.
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -30,7 +30,7 @@
         .take();
 }
 
-void Election::tick() {
+void Election::poll() {
     const auto now = context_.now();
     if (!observed_) {
         if (!reading_ && now >= next_read_) observe();
@@ -39,8 +39,8 @@
         watch();
     }
     const bool vacant =
-        observed_ && seen_rev_ == KeyRevision() && !leader_ && now >= no_campaign_until_;
-    if (!campaigning_ && (renew_term_ || (vacant && eligible_))) {
+        observed_ && observed_revision_ == KeyRevision() && !leader_ && now >= resigned_until_;
+    if (!campaigning_ && (new_term_required_ || (vacant && eligible_))) {
         if (now >= next_campaign_) {
             campaign();
         } else {
@@ -48,7 +48,7 @@
         }
     }
     // A lease that no key hangs on is left to end by itself.
-    if (!leader_ && !campaigning_ && !renew_term_) lease_.reset();
+    if (!leader_ && !campaigning_ && !new_term_required_) lease_.reset();
     if (lease_ && !renewing_) {
         if (now >= next_renewal_) {
             renew_lease();
@@ -98,49 +98,48 @@
 void Election::observe_leader_key(wire::Value value, KeyRevision rev) {
     // A read that was overtaken by this node's own later write says nothing new.
     if (leader_ && rev.get() <= leader_key_revision_.get()) return;
-    seen_rev_ = rev;
+    observed_revision_ = rev;
     observed_leader_ = ControllerName(std::string(value["node"].text().value_or("")));
-    seen_term_ = Term(value["term"].count().value_or(0));
+    observed_term_ = Term(value["term"].count().value_or(0));
     const bool own = value["incarnation"].text() == incarnation_;
     if (!own) {
-        renew_term_ = false;
+        new_term_required_ = false;
         if (leader_) step_down("another node leads");
         return;
     }
     if (rev == leader_key_revision_) {
-        if (context_.now() < no_campaign_until_)
-            return;  // it resigned; the key goes with its lease
+        if (context_.now() < resigned_until_) return;  // it resigned; the key goes with its lease
         // Left while the key still stood: something sent under this revision may still be under
         // way, so this term must not be taken up again.
-        renew_term_ = true;
+        new_term_required_ = true;
         return;
     }
     // The answer to the proposal was lost or is overtaken: the key is this incarnation's, so no
     // other node can hold a later term while it stands at this revision.
-    begin_term(seen_term_, rev);
+    begin_term(observed_term_, rev);
 }
 
 void Election::begin_term(Term term, KeyRevision rev) {
-    leader_key_revision_ = seen_rev_ = rev;
-    term_ = seen_term_ = term;
+    leader_key_revision_ = observed_revision_ = rev;
+    term_ = observed_term_ = term;
     observed_leader_ = config_.name;
-    renew_term_ = false;
+    new_term_required_ = false;
     leader_ = true;
     ++generation_;
     context_.log(LogLevel::info, "event=elected node={} term={}", config_.name.get(), term.get());
 }
 
 void Election::observe_no_leader() {
-    seen_rev_ = KeyRevision();
+    observed_revision_ = KeyRevision();
     observed_leader_ = ControllerName();
-    renew_term_ = false;
+    new_term_required_ = false;
     if (leader_) step_down("the leader key is gone");
     next_campaign_ = context_.now() + context_.jitter(Millis(60));
 }
 
 void Election::campaign() {
     campaigning_ = true;
-    const KeyRevision over = renew_term_ ? leader_key_revision_ : KeyRevision();
+    const KeyRevision over = new_term_required_ ? leader_key_revision_ : KeyRevision();
     if (lease_) {
         read_term(over);
         return;
@@ -217,10 +216,10 @@
     context_.log(LogLevel::info, "event=stepped_down node={} term={} why=\"{}\"",
                  config_.name.get(), term_.get(), why);
     leader_ = false;
-    renew_term_ = false;
+    new_term_required_ = false;
 }
 
-void Election::depose(Term newer) {
+void Election::observe_newer_term(Term newer) {
     if (!leader_ || newer <= term_) return;
     step_down("a peer knows a later term");
     observed_ = false;
@@ -234,11 +233,11 @@
     next_read_ = context_.now();
 }
 
-void Election::resign(Millis aside) {
+void Election::resign(Millis cooldown) {
     if (!leader_) return;
     const auto key = precondition();
     step_down("it resigns");
-    no_campaign_until_ = context_.now() + aside;
+    resigned_until_ = context_.now() + cooldown;
     // Only speeds things up: without it the key goes when its lease ends.
     kv_client_.transact({key}, {{kLeaderKey, std::nullopt, std::nullopt}}, Millis(1500),
                         [this](const kv::TransactionResult&) {
@@ -247,10 +246,10 @@
                         });
 }
 
-void Election::renew_term() {
+void Election::require_new_term() {
     if (!leader_) return;
     step_down("a transaction's outcome is not known");
-    renew_term_ = true;
+    new_term_required_ = true;
     next_campaign_ = context_.now();
 }
 
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -22,7 +22,7 @@
   public:
     Election(sansio::Context& port, kv::KvClient& store, const config::Config& config);
 
-    void tick();
+    void poll();
 
     bool is_leader() const { return leader_; }
     Term term() const { return term_; }
@@ -33,12 +33,12 @@
     const ControllerName& observed_leader() const { return observed_leader_; }
 
     // Another node is known to lead with a later term.
-    void depose(Term newer);
+    void observe_newer_term(Term newer);
     // The outcome of a ledger transaction is not known: take a new term over one's own key, so
     // that the transaction can no longer be applied if it has not been.
-    void renew_term();
+    void require_new_term();
     // Gives the leadership up and does not stand for a while, so that another node can lead.
-    void resign(Millis aside);
+    void resign(Millis cooldown);
     // Stops acting as the leader until the state service shows who leads.
     void suspend_leadership(const char* why);
     // Whether this node may stand; a node that the state service serves badly should not.
@@ -73,8 +73,8 @@
     Term term_;
     KeyRevision leader_key_revision_;
     ControllerName observed_leader_;
-    Term seen_term_;
-    KeyRevision seen_rev_;
+    Term observed_term_;
+    KeyRevision observed_revision_;
     bool observed_ = false;  // the lead key's state is known and watched
 
     std::optional<LeaseId> lease_;
@@ -82,12 +82,12 @@
     bool watching_ = false;
     bool campaigning_ = false;
     bool renewing_ = false;
-    bool renew_term_ = false;
+    bool new_term_required_ = false;
     KeyRevision watch_from_;
     Instant next_read_{};
     Instant next_campaign_{};
     Instant next_renewal_{};
-    Instant no_campaign_until_{};
+    Instant resigned_until_{};
 };
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/peer_heartbeat.cpp
+++ b/src/coordination/peer_heartbeat.cpp
@@ -13,14 +13,14 @@
 constexpr std::size_t kFields = 10;  // always there
 }  // namespace
 
-std::string encode(const Heartbeat& heartbeat) {
+std::string encode(const PeerHeartbeat& heartbeat) {
     wire::Writer w;
     const auto faulty = std::min(heartbeat.faulty_jobs.size(), kMaxFaultyJobs);
     w.map(faulty > 0 ? kFields + 1 : kFields).text("v").count(kVersion);
     w.text("node").text(heartbeat.node.get());
     w.text("term").count(heartbeat.term.get());
     w.text("leads").boolean(heartbeat.leads);
-    w.text("state").boolean(heartbeat.state_reachable);
+    w.text("state").boolean(heartbeat.kv_reachable);
     const auto jobs = std::min(heartbeat.progress.size(), kMaxProgress);
     w.text("jobs").list(jobs);
     for (std::size_t i = 0; i < jobs; ++i) {
@@ -40,14 +40,14 @@
     return w.take();
 }
 
-Heartbeat decode_heartbeat(wire::Value body) {
+PeerHeartbeat decode_peer_heartbeat(wire::Value body) {
     if (body["v"].need_count("v") != kVersion)
         throw wire::DecodeError(wire::DecodeProblem::unknown_version);
-    Heartbeat heartbeat;
+    PeerHeartbeat heartbeat;
     heartbeat.node = ControllerName(body["node"].need_text("node"));
     heartbeat.term = Term(body["term"].need_count("term"));
     heartbeat.leads = body["leads"].need_bool("leads");
-    heartbeat.state_reachable = body["state"].need_bool("state");
+    heartbeat.kv_reachable = body["state"].need_bool("state");
     const auto jobs = body["jobs"];
     for (std::size_t i = 0; i < std::min(jobs.size(), kMaxProgress); ++i) {
         const auto job = jobs.at(i);
--- a/src/coordination/peer_heartbeat.hpp
+++ b/src/coordination/peer_heartbeat.hpp
@@ -13,25 +13,25 @@
 namespace dunebridge::coordination {
 
 // How far a job is, by the leader's ledger.
-struct Progress {
+struct JobProgress {
     JobId id;
     std::uint64_t done = 0;
     std::uint64_t running = 0;
 };
 
 // A controller's state, as it reports it.
-struct Heartbeat {
+struct PeerHeartbeat {
     ControllerName node;
     Term term;
     bool leads = false;
-    bool state_reachable = false;
-    CancellationLogPart cancellations;
+    bool kv_reachable = false;
+    CancellationLogSegment cancellations;
     std::uint64_t format = 2;  // newest format of the ledger that the node knows
-    std::vector<Progress> progress;
+    std::vector<JobProgress> progress;
     // Jobs that the leader takes to fail on every machine. Absent on the wire while there are none.
     std::vector<JobId> faulty_jobs;
 };
-std::string encode(const Heartbeat& heartbeat);
-Heartbeat decode_heartbeat(wire::Value body);  // throws wire::DecodeError
+std::string encode(const PeerHeartbeat& heartbeat);
+PeerHeartbeat decode_peer_heartbeat(wire::Value body);  // throws wire::DecodeError
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 PeerMonitor::PeerMonitor(sansio::Context& port, const config::Config& config,
-                         std::function<Heartbeat()> own,
+                         std::function<PeerHeartbeat()> own,
                          std::function<void(const JobId&)> cancelled)
     : context_(port), config_(config), own_(std::move(own)), cancelled_(std::move(cancelled)) {
     for (const auto& node : config_.peers) peers_[node.name];
@@ -26,7 +26,7 @@
 
 std::string PeerMonitor::own_heartbeat() { return encode(own_()); }
 
-void PeerMonitor::tick() {
+void PeerMonitor::send_due_heartbeats() {
     if (context_.now() >= next_) {
         next_ = context_.now() + kEvery;
         const auto heartbeat = own_heartbeat();
@@ -63,7 +63,7 @@
                            Instant asked) {
     try {
         const auto doc = wire::Document::need(reply.body);
-        const auto heartbeat = decode_heartbeat(doc.root());
+        const auto heartbeat = decode_peer_heartbeat(doc.root());
         if (heartbeat.node == name)
             track_cancellation_log(peers_[name], heartbeat.cancellations, asked);
         record_heartbeat(heartbeat);
@@ -76,7 +76,7 @@
 // Only an answer shows how new it is: it was given after it was asked for. A restarted peer, or one
 // whose log has a gap, may have shown users ends that are in no log any more; the state service
 // has them.
-void PeerMonitor::track_cancellation_log(Peer& peer, const CancellationLogPart& log,
+void PeerMonitor::track_cancellation_log(Peer& peer, const CancellationLogSegment& log,
                                          Instant asked) {
     if (log.incarnation == 0) return;
     if (peer.incarnation != log.incarnation || log.first > peer.next) {
@@ -88,7 +88,7 @@
     peer.acknowledged_at = std::max(peer.acknowledged_at, asked);
 }
 
-Instant PeerMonitor::acknowledged_until(Instant read) const {
+Instant PeerMonitor::cancellations_known_until(Instant read) const {
     auto until = context_.now();
     for (const auto& [name, peer] : peers_) {
         if (peer.incarnation == 0 || peer.complete_since > read) return Instant{};
@@ -97,7 +97,7 @@
     return until;
 }
 
-void PeerMonitor::record_heartbeat(const Heartbeat& heartbeat) {
+void PeerMonitor::record_heartbeat(const PeerHeartbeat& heartbeat) {
     const auto it = peers_.find(heartbeat.node);
     if (it == peers_.end()) return;
     // Committed ends are true however old the heartbeat is.
@@ -125,15 +125,15 @@
     return ControllerName();
 }
 
-bool PeerMonitor::all_know(std::uint64_t format) const {
+bool PeerMonitor::all_peers_support(std::uint64_t format) const {
     return std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
         return recently_heard(p.second) && p.second.heartbeat.format >= format;
     });
 }
 
-bool PeerMonitor::state_reachable_elsewhere() const {
+bool PeerMonitor::kv_reachable_by_a_peer() const {
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-        return recently_heard(entry.second) && entry.second.heartbeat.state_reachable;
+        return recently_heard(entry.second) && entry.second.heartbeat.kv_reachable;
     });
 }
 
--- a/src/coordination/peer_monitor.hpp
+++ b/src/coordination/peer_monitor.hpp
@@ -19,19 +19,19 @@
 
 class PeerMonitor {
   public:
-    PeerMonitor(sansio::Context& port, const config::Config& config, std::function<Heartbeat()> own,
-                std::function<void(const JobId&)> cancelled);
+    PeerMonitor(sansio::Context& port, const config::Config& config,
+                std::function<PeerHeartbeat()> own, std::function<void(const JobId&)> cancelled);
 
-    void tick();
+    void send_due_heartbeats();
     // Sends to all peers at the next tick, as something changed that they should know.
-    void send_soon() { next_ = Instant{}; }
+    void broadcast_soon() { next_ = Instant{}; }
     // Takes a peer's heartbeat. It may have been under way for long.
-    void record_heartbeat(const Heartbeat& heartbeat);
+    void record_heartbeat(const PeerHeartbeat& heartbeat);
     // Sends to one peer now, and goes on when it has answered or has not in time.
     void send_heartbeat(const ControllerName& peer, std::function<void()> then);
     // Up to when this node knows of every cancellation that a peer has shown its users, for one
     // that has read all committed ends at the given moment; nothing while a peer does not answer.
-    Instant acknowledged_until(Instant read) const;
+    Instant cancellations_known_until(Instant read) const;
 
     // The peer that leads by the latest heartbeats, empty if none.
     ControllerName leader() const;
@@ -40,10 +40,10 @@
     Term highest_term() const { return highest_term_; }
     // Every known controller has lately shown that it knows the format; one not heard counts as
     // old.
-    bool all_know(std::uint64_t format) const;
+    bool all_peers_support(std::uint64_t format) const;
     // Some peer has lately reported that it reaches the state service.
-    bool state_reachable_elsewhere() const;
-    const std::unordered_map<JobId, Progress>& progress() const { return progress_; }
+    bool kv_reachable_by_a_peer() const;
+    const std::unordered_map<JobId, JobProgress>& progress() const { return progress_; }
     // Jobs that the latest leader heard of took to fail on every machine.
     const std::vector<JobId>& faulty_jobs() const { return faulty_jobs_; }
 
@@ -51,7 +51,7 @@
     struct Peer {
         Instant heard{};
         bool known = false;
-        Heartbeat heartbeat;
+        PeerHeartbeat heartbeat;
         bool in_flight = false;
         // Its log, as far as it is known here without a gap, since when, and when it was last
         // asked.
@@ -65,14 +65,14 @@
     void send(const config::PeerAddress& node, const std::string& heartbeat, Millis timeout,
               std::function<void()> then);
     void answered(const ControllerName& name, const sansio::HttpResult& reply, Instant asked);
-    void track_cancellation_log(Peer& peer, const CancellationLogPart& log, Instant asked);
+    void track_cancellation_log(Peer& peer, const CancellationLogSegment& log, Instant asked);
 
     sansio::Context& context_;
     const config::Config& config_;
-    std::function<Heartbeat()> own_;
+    std::function<PeerHeartbeat()> own_;
     std::function<void(const JobId&)> cancelled_;
     std::unordered_map<ControllerName, Peer> peers_;
-    std::unordered_map<JobId, Progress> progress_;
+    std::unordered_map<JobId, JobProgress> progress_;
     std::vector<JobId> faulty_jobs_;
     Term highest_term_;
     Instant last_heard_{};
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -126,7 +126,7 @@
                   });
 }
 
-void KvClient::tick() {
+void KvClient::probe_if_idle() {
     // A node that seldom calls would learn from its users' waiting that it is cut off.
     const auto due = last_answer_ + kProbeAfter;
     if (probing_ || context_.now() < due) {
--- a/src/kv/client.hpp
+++ b/src/kv/client.hpp
@@ -94,7 +94,7 @@
     void renew_lease(LeaseId lease, std::function<void(LeaseRenewal)> then);
 
     // Asks for something small when nothing else has been asked lately.
-    void tick();
+    void probe_if_idle();
     // Whether the last answers were good ones.
     bool reachable() const { return reachable_; }
     // How long calls have gone without a good answer.
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -242,7 +242,7 @@
                       asked = context_.now()](const kv::WatchResult& result) {
                          if (!state_.current(generation)) return;
                          if (result.kind == kv::WatchResult::Kind::too_old) {
-                             election_.renew_term();
+                             election_.require_new_term();
                              return;
                          }
                          const bool failed = result.kind == kv::WatchResult::Kind::failed;
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -119,7 +119,7 @@
         // It may be applied at any later time. A new term over the own leader key fences it off.
         context_.log(sansio::LogLevel::info, "event=transaction_outcome_unknown term={}",
                      election_.term().get());
-        election_.renew_term();
+        election_.require_new_term();
     } else {
         handle_not_committed(transaction, result);
     }
@@ -205,7 +205,7 @@
                  election_.term().get(), result.failed.empty() ? "" : result.failed.front(),
                  result.failed.size());
     // The leader key has changed. Standing again over the old revision fails if another leads.
-    election_.renew_term();
+    election_.require_new_term();
 }
 
 // Terminal records that exist already are users' cancellations that came first. Whether there are
--- a/src/workers/heartbeat_processor.cpp
+++ b/src/workers/heartbeat_processor.cpp
@@ -56,7 +56,7 @@
 bool HeartbeatProcessor::apply(Machine& machine, const WorkerHeartbeat& heartbeat,
                                ExchangeKind exchange) {
     if (heartbeat.token > make_token(election_.term(), machine.worker.fence_counter)) {
-        election_.depose(term_of(heartbeat.token));
+        election_.observe_newer_term(term_of(heartbeat.token));
         return false;
     }
     // A report that was held back on its way is older than one already applied.
--- a/tests/cancellation_log_test.cpp
+++ b/tests/cancellation_log_test.cpp
@@ -17,21 +17,21 @@
     coordination::CancellationLog logs[2]{{ports[0], config}, {ports[1], config}};
     Instant now(Millis(1000));
     ports[0].advance_clock(now, 0);
-    EXPECT_TRUE(logs[0].add(JobId("req-1")));
-    EXPECT_FALSE(logs[0].add(JobId("req-1")));
+    EXPECT_TRUE(logs[0].append(JobId("req-1")));
+    EXPECT_FALSE(logs[0].append(JobId("req-1")));
     now += Millis(5000);
     for (int step = 0; step < 300; ++step) {
         now += Millis(700);
         const auto from = static_cast<std::size_t>(step % 2);
         for (auto& port : ports) port.advance_clock(now, 0);
-        for (const auto& id : logs[from].kept().jobs) logs[1 - from].add(id);
+        for (const auto& id : logs[from].retained().jobs) logs[1 - from].append(id);
         if (step == 2) {
-            EXPECT_EQ(logs[1].kept().jobs.size(), 1u);
+            EXPECT_EQ(logs[1].retained().jobs.size(), 1u);
         }
     }
     for (auto& log : logs) {
-        EXPECT_TRUE(log.kept().jobs.empty());
-        EXPECT_EQ(log.kept().first, 2u);  // logged once
+        EXPECT_TRUE(log.retained().jobs.empty());
+        EXPECT_EQ(log.retained().first, 2u);  // logged once
     }
 }
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -237,11 +237,11 @@
         const auto packed = bytes(hex);
         const auto doc = wire::Document::parse(packed);
         ASSERT_TRUE(doc);
-        const auto heard = coordination::decode_heartbeat(doc->root());
+        const auto heard = coordination::decode_peer_heartbeat(doc->root());
         EXPECT_EQ(heard.node, ControllerName("node-1"));
         EXPECT_EQ(heard.term, Term(7));
         EXPECT_TRUE(heard.leads);
-        EXPECT_TRUE(heard.state_reachable);
+        EXPECT_TRUE(heard.kv_reachable);
         EXPECT_EQ(heard.format, hex == kProductionHeartbeat ? 2u : 3u);
         EXPECT_EQ(heard.cancellations.incarnation, 99u);
         EXPECT_EQ(heard.cancellations.first, 3u);
@@ -255,10 +255,10 @@
 
 // What this version says of itself, but for the format that it knows, is what the one before said.
 TEST(Heartbeat, IsWrittenAsBefore) {
-    coordination::Heartbeat heartbeat;
+    coordination::PeerHeartbeat heartbeat;
     heartbeat.node = ControllerName("node-1");
     heartbeat.term = Term(7);
-    heartbeat.leads = heartbeat.state_reachable = true;
+    heartbeat.leads = heartbeat.kv_reachable = true;
     heartbeat.cancellations = {99, 3, {JobId("req-000004"), JobId("req-000005")}};
     heartbeat.progress = {{JobId("req-000001"), 2, 1}};
     heartbeat.format = 3;
