--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -42,7 +42,8 @@
           context_, config_, [this] { return heartbeat(); },
           [this](const JobId& id) { cancelled(id); }),
       state_(context_, kv_client_, election_),
-      loader_(context_, kv_client_, election_, state_, config_),
+      follower_(context_, kv_client_, election_, state_, config_),
+      loader_(context_, kv_client_, election_, state_, follower_, config_),
       writer_(context_, kv_client_, election_, state_, config_),
       worker_liveness_(context_, election_, config_),
       released_machines_(context_),
@@ -200,7 +201,7 @@
         const auto doc = wire::Document::need(request.body);
         if (leads()) {
             const auto heartbeat = wire::decode_worker_heartbeat(doc.root());
-            if (leadership_guard_.may_renew_leases(loader_.terminal_records_read_at())) {
+            if (leadership_guard_.may_renew_leases(follower_.terminal_records_read_at())) {
                 workers_.handle_heartbeat(request.id, heartbeat);
             } else {
                 context_.answer(request.id, 503, wire::encode_error("cancellations not known"), 1);
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -19,6 +19,7 @@
 #include "sansio/context.hpp"
 #include "scheduler/scheduler.hpp"
 #include "state/cluster_state.hpp"
+#include "state/cluster_state_follower.hpp"
 #include "state/cluster_state_loader.hpp"
 #include "state/cluster_state_writer.hpp"
 #include "state/machine_type_catalog.hpp"
@@ -89,6 +90,7 @@
     coordination::CancellationLog cancellations_;
     coordination::PeerMonitor peer_monitor_;
     state::ClusterState state_;
+    state::ClusterStateFollower follower_;
     state::ClusterStateLoader loader_;
     state::ClusterStateWriter writer_;
     state::MachineTypeCatalog machine_types_;
--- a/src/state/cluster_state_loader.hpp
+++ b/src/state/cluster_state_loader.hpp
@@ -1,11 +1,9 @@
-// Reads the ledger for the term that has begun, and follows what others write from then on: new
-// jobs, and ends.
+/// \file
+/// Reads the whole cluster state from the key-value store when a term begins.
 #pragma once
 
 #include <cstddef>
-#include <cstdint>
 #include <functional>
-#include <string>
 #include <vector>
 
 #include "config/config.hpp"
@@ -13,47 +11,56 @@
 #include "kv/client.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
-#include "state/record_codec.hpp"
+#include "state/cluster_state_follower.hpp"
 
 namespace dunebridge::state {
 
+/// Fills the cluster state, step by step, and then starts the follower. Called on the controller's
+/// thread only. A load ends by itself with the term for which it was begun; a record that cannot be
+/// read ends it too, and this node resigns.
 class ClusterStateLoader {
   public:
-    ClusterStateLoader(sansio::Context& port, kv::KvClient& store, coordination::Election& election,
-                       ClusterState& cluster_state, const config::Config& config);
+    /// All references must outlive the loader.
+    ClusterStateLoader(sansio::Context& context, kv::KvClient& kv_client,
+                       coordination::Election& election, ClusterState& cluster_state,
+                       ClusterStateFollower& follower, const config::Config& config);
 
-    // Begins the ledger anew; it is loaded once everything has been read.
+    /// Empties the cluster state and reads it anew for the term that has begun.
+    /// ClusterState::loaded() turns true once everything has been read.
     void load();
-    // Every end that was committed before is known.
-    Instant terminal_records_read_at() const { return terminal_records_read_at_; }
 
   private:
-    void load_next(std::size_t step, std::uint64_t generation);
-    bool take_rows(const kv::ListResult& result, const std::function<void(const kv::Row&)>& take);
-    void load_jobs(const kv::ListResult& result);
-    void load_dependencies(const kv::ListResult& result);
-    void load_rentals(const kv::ListResult& result);
-    void load_progress(const kv::ListResult& result);
-    void load_progress_record(const kv::Row& row);
-    void check_ends(std::vector<JobId> ids, std::uint64_t generation);
-    void finish(std::uint64_t generation);
-    void link_dependencies();
-    void try_again(std::function<void()> read);
-    void bad_record(const std::string& key, const std::string& error);
+    // Reads all records with a prefix, and applies them one by one.
+    struct Step {
+        const char* prefix;
+        void (ClusterStateLoader::*apply)(const kv::Row&);
+    };
+    static const Step kSteps[];
+
+    void run_step(std::size_t index);
+    void handle_rows(std::size_t step_index, const kv::ListResult& result);
+    void apply_job(const kv::Row& row);
+    void apply_dependencies(const kv::Row& row);
+    void apply_scale_out(const kv::Row& row);
+    void apply_progress(const kv::Row& row);
+    Job& job_with_progress(const JobId& id, std::uint32_t task_count);
+    void complete_jobs();
 
-    void watch(const char* prefix, KeyRevision from, std::uint64_t generation);
-    void apply_change(const kv::Change& change);
-    void add_new_job(const kv::Change& change);
-    void take_dependency_part(Job& job, const kv::Row& row);
-    void read_dependencies(const JobId& id, std::uint64_t generation);
+    void find_terminal_jobs(std::vector<JobId> unchecked);
+    void handle_terminal_check(std::vector<JobId> unchecked, std::size_t checked,
+                               const kv::TransactionResult& result);
+    void finish();
+    void link_dependencies();
+    void retry(std::function<void()> read);
 
     sansio::Context& context_;
     kv::KvClient& kv_client_;
     coordination::Election& election_;
     ClusterState& state_;
+    ClusterStateFollower& follower_;
     const config::Config& config_;
-    KeyRevision load_revision_;  // of the first list: watching from here misses nothing
-    Instant terminal_records_read_at_{};
+    Instant started_at_{};
+    KeyRevision first_revision_;  ///< Of the first step: watching from here misses nothing.
 };
 
 }  // namespace dunebridge::state
--- /dev/null
+++ b/src/state/record_reading.cpp
@@ -0,0 +1,32 @@
+#include "state/record_reading.hpp"
+
+#include "kv/records.hpp"
+
+namespace dunebridge::state {
+
+namespace {
+// For how long another node may lead that can read what this one cannot.
+constexpr Millis kResignFor{20000};
+}  // namespace
+
+void log_invalid_record(sansio::Context& context, const InvalidRecord& record) {
+    context.log(sansio::LogLevel::error, "event=invalid_record key={} error=\"{}\"", record.key,
+                record.reason);
+}
+
+void resign_over_invalid_record(sansio::Context& context, coordination::Election& election,
+                                const InvalidRecord& record) {
+    log_invalid_record(context, record);
+    election.resign(kResignFor);
+}
+
+void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Row& row) {
+    const auto part = kv::decode_dependency_part(row.value);
+    ++job.parts_read;
+    cluster_state.stored().set(row.key, row.rev);
+    if (!part.direct) return;
+    auto& direct = job.spec.waits_on;
+    direct.insert(direct.end(), part.jobs.begin(), part.jobs.end());
+}
+
+}  // namespace dunebridge::state
--- /dev/null
+++ b/src/state/while_in_term.hpp
@@ -0,0 +1,25 @@
+/// \file
+/// Continuations that must not run once the term in which they were created is over.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <utility>
+
+#include "state/cluster_state.hpp"
+
+namespace dunebridge::state {
+
+/// Wraps a continuation of a call or a timer so that it is dropped once this node no longer leads
+/// in the term for which the cluster state was begun: by then the state is another one, or none.
+/// `cluster_state` must outlive the wrapper.
+template <class... Results, class Continuation>
+std::function<void(const Results&...)> while_in_term(const ClusterState& cluster_state,
+                                                     Continuation continuation) {
+    return [&cluster_state, generation = cluster_state.generation(),
+            continuation = std::move(continuation)](const Results&... results) mutable {
+        if (cluster_state.current(generation)) continuation(results...);
+    };
+}
+
+}  // namespace dunebridge::state
