--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -35,6 +35,8 @@
 using RequestId = Strong<struct RequestIdTag, std::uint64_t>;
 
 using Millis = std::chrono::milliseconds;
+/// Estimates and other spans that are computed with, in seconds and fractions of them.
+using Seconds = std::chrono::duration<double>;
 
 // The steady clock as the core sees it; only the I/O layer (or a test) advances it.
 struct SteadyTime {
--- a/src/provisioning/boot_monitor.cpp
+++ b/src/provisioning/boot_monitor.cpp
@@ -9,148 +9,167 @@
 using state::Machine;
 
 namespace {
-constexpr double kUnknownStartup_s = 60;
+// Of a machine whose type is not known.
+constexpr Seconds kDefaultNominal{60};
 constexpr double kMeanWeight = 0.125;
 constexpr double kDeviationWeight = 0.25;
-constexpr double kFirstDeviation = 0.25;  // of the nominal time
+constexpr double kInitialDeviation = 0.25;  // of the nominal time
 constexpr double kDeviations = 4;
 // Machines commonly take up to half as long again as the cloud says, also after a run of quick
 // ones.
-constexpr double kLeastLimit = 1.5;  // times the nominal time
-// Of the fleet, so much may be overdue and replaced at the same time; and always so many machines.
+constexpr double kMinLimitBoots = 1.5;  // in nominal times
+// This share of the fleet may be overdue and replaced at the same time, and always this many
+// machines.
 constexpr double kReplacedShare = 0.2;
-constexpr std::size_t kAlwaysReplaced = 2;
-// A place that does not deliver is left alone for so long, at first and at most; then it is asked
-// for so many machines at a time.
-constexpr Millis kLeastPause{30000};
-constexpr Millis kMaxPause{300000};
+constexpr std::size_t kMinReplaced = 2;
+// The first and the longest backoff of an unhealthy pool; after it, so many machines at a time may
+// be requested as probes.
+constexpr Millis kMinBackoff{30000};
+constexpr Millis kMaxBackoff{300000};
 constexpr std::size_t kProbes = 2;
-// Before a machine is returned, in nominal times and besides: at least, and at most. The longer
-// time is for places where nothing else comes either, so that waiting is as good as asking again,
-// and for those that are known to be slow. A machine that never comes is paid for until then.
-constexpr double kLeastGiveUpBoots = 3.5;
-constexpr double kMostGiveUpBoots = 6;
-constexpr Millis kGiveUpMargin{20000};
+// Bounds of the time before a machine that has not come up is released: nominal times, and a margin
+// besides. The longer time is for pools where nothing else comes up either, so that waiting is as
+// good as requesting again, and for those that are known to be slow. A machine that never comes up
+// is paid for until then.
+constexpr double kMinTimeoutBoots = 3.5;
+constexpr double kMaxTimeoutBoots = 6;
+constexpr Millis kTimeoutMargin{20000};
+
+Millis to_millis(Seconds span) { return from_seconds(span.count()); }
 }  // namespace
 
-void BootTimeEstimate::observe(double boot_s, double nominal_s) {
+void BootTimeEstimate::observe(Seconds boot_time, Seconds nominal) {
     if (!learnt) {
-        mean_s = nominal_s;
-        deviation_s = kFirstDeviation * nominal_s;
+        mean = nominal;
+        deviation = kInitialDeviation * nominal;
         learnt = true;
     }
-    const double error = boot_s - mean_s;
-    mean_s += kMeanWeight * error;
-    deviation_s += kDeviationWeight * (std::abs(error) - deviation_s);
+    const Seconds error = boot_time - mean;
+    mean += kMeanWeight * error;
+    deviation += kDeviationWeight * (std::chrono::abs(error) - deviation);
 }
 
-double BootTimeEstimate::limit_s(double nominal_s) const {
-    const double mean = learnt ? mean_s : nominal_s;
-    const double deviation = learnt ? deviation_s : kFirstDeviation * nominal_s;
-    return std::max(mean + kDeviations * deviation, kLeastLimit * nominal_s);
+Seconds BootTimeEstimate::limit(Seconds nominal) const {
+    const Seconds expected = learnt ? mean : nominal;
+    const Seconds expected_deviation = learnt ? deviation : kInitialDeviation * nominal;
+    return std::max(expected + kDeviations * expected_deviation, kMinLimitBoots * nominal);
 }
 
 void BootMonitor::reset() {
-    for (auto& [place, health] : places_) {
-        health.failing = false;
-        health.pause = Millis(0);
-        health.avoid_until = Instant{};
+    for (auto& [pool, health] : pool_health_) {
+        health.unhealthy = false;
+        health.backoff = Millis(0);
+        health.backoff_until = Instant{};
     }
 }
 
-double BootMonitor::nominal_s(const Machine& machine) const {
-    const auto* type = types_.find(machine.machine_type);
-    return type ? type->startup_s : kUnknownStartup_s;
+Seconds BootMonitor::nominal_boot_time(const Machine& machine) const {
+    const auto* type = machine_types_.find(machine.machine_type);
+    return type ? Seconds(type->startup_s) : kDefaultNominal;
 }
 
-const BootMonitor::Health* BootMonitor::find(const Machine& machine) const {
-    const auto it = places_.find({machine.machine_type, machine.zone});
-    return it == places_.end() ? nullptr : &it->second;
+BootMonitor::PoolHealth& BootMonitor::health_of(const Machine& machine) {
+    return pool_health_[{machine.machine_type, machine.zone}];
 }
 
 void BootMonitor::update() {
-    for (auto& [place, health] : places_) health.starting = 0;
-    std::size_t fleet = 0;
+    for (auto& [pool, health] : pool_health_) health.booting = 0;
+    std::size_t fleet_size = 0;
     for (auto& [host, machine] : state_.machines()) {
         if (machine.instance.deleting) continue;
-        ++fleet;
-        machine.worker.heartbeat_received ? record_boot(machine) : check_overdue(machine);
+        ++fleet_size;
+        if (machine.worker.heartbeat_received) {
+            record_boot(machine);
+        } else {
+            check_overdue(machine);
+        }
     }
-    auto left = std::max(kAlwaysReplaced,
-                         static_cast<std::size_t>(kReplacedShare * static_cast<double>(fleet)));
+    allow_replacements(fleet_size);
+}
+
+void BootMonitor::allow_replacements(std::size_t fleet_size) {
+    const double share = kReplacedShare * static_cast<double>(fleet_size);
+    auto allowed = std::max(kMinReplaced, static_cast<std::size_t>(share));
     for (auto& [host, machine] : state_.machines()) {
         auto& instance = machine.instance;
-        instance.replaced = instance.overdue && !instance.deleting && left > 0;
-        if (instance.replaced) --left;
+        instance.replacement_allowed = instance.overdue && !instance.deleting && allowed > 0;
+        if (instance.replacement_allowed) --allowed;
     }
 }
 
-// Only of machines rented by this leader in this term is it known when they were.
 void BootMonitor::record_boot(Machine& machine) {
     auto& instance = machine.instance;
     if (!instance.boot_tracked && !instance.overdue) return;
-    auto& health = places_[{machine.machine_type, machine.zone}];
-    const auto boot_s = to_seconds(context_.now() - instance.provisioned_at);
-    if (instance.boot_tracked) health.estimate.observe(boot_s, nominal_s(machine));
-    instance.boot_tracked = instance.overdue = false;
-    health.last_delivery = context_.now();
-    if (health.failing) {
+    auto& health = health_of(machine);
+    // The time of the request is known only for machines that this leader requested in this term.
+    if (instance.boot_tracked) {
+        const Seconds boot_time = context_.now() - instance.provisioned_at;
+        health.boot_time.observe(boot_time, nominal_boot_time(machine));
+    }
+    instance.boot_tracked = false;
+    instance.overdue = false;
+    health.last_boot = context_.now();
+    if (health.unhealthy) {
         context_.log(LogLevel::info, "event=instance_pool_recovered type={} zone={}",
                      machine.machine_type, machine.zone);
     }
-    health.failing = false;
-    health.pause = Millis(0);
+    health.unhealthy = false;
+    health.backoff = Millis(0);
 }
 
 void BootMonitor::check_overdue(Machine& machine) {
     auto& instance = machine.instance;
     if (!instance.starting || instance.overdue) return;
-    auto& health = places_[{machine.machine_type, machine.zone}];
-    const auto limit = from_seconds(health.estimate.limit_s(nominal_s(machine)));
+    auto& health = health_of(machine);
+    const auto limit = to_millis(health.boot_time.limit(nominal_boot_time(machine)));
     if (context_.now() - instance.provisioned_at <= limit) {
-        ++health.starting;
+        ++health.booting;
         return;
     }
     instance.overdue = true;
     record_overdue(machine);
 }
 
-// The many machines of one request are overdue in the same moment: they count as one failure.
+// The many machines of one request become overdue in the same moment: they count as one failure, as
+// the backoff is not extended while it lasts.
 void BootMonitor::record_overdue(const Machine& machine) {
     context_.log(LogLevel::info, "event=boot_overdue host={} type={} zone={} after_s={:.0f}",
                  machine.host.get(), machine.machine_type, machine.zone,
                  to_seconds(context_.now() - machine.instance.provisioned_at));
-    auto& health = places_[{machine.machine_type, machine.zone}];
-    if (health.last_delivery >= machine.instance.provisioned_at) return;
-    health.failing = true;
-    if (context_.now() < health.avoid_until) return;
-    health.pause = std::clamp(health.pause * 2, kLeastPause, kMaxPause);
-    health.avoid_until = context_.now() + health.pause;
+    auto& health = health_of(machine);
+    if (health.last_boot >= machine.instance.provisioned_at) return;
+    health.unhealthy = true;
+    if (context_.now() < health.backoff_until) return;
+    health.backoff = std::clamp(health.backoff * 2, kMinBackoff, kMaxBackoff);
+    health.backoff_until = context_.now() + health.backoff;
 }
 
-bool BootMonitor::to_replace(const Machine& machine) const { return machine.instance.replaced; }
+bool BootMonitor::replacement_allowed(const Machine& machine) const {
+    return machine.instance.replacement_allowed;
+}
 
-Millis BootMonitor::release_after(const Machine& machine) const {
-    const double nominal = nominal_s(machine);
-    const auto* health = find(machine);
-    const auto most = from_seconds(kMostGiveUpBoots * nominal) + kGiveUpMargin;
-    const bool others_came = health && health->last_delivery >= machine.instance.provisioned_at;
-    if (!others_came) return most;
-    const auto least = from_seconds(kLeastGiveUpBoots * nominal) + kGiveUpMargin;
-    return std::clamp(from_seconds(health->estimate.limit_s(nominal)), least, most);
+Millis BootMonitor::boot_timeout(const Machine& machine) const {
+    const Seconds nominal = nominal_boot_time(machine);
+    const auto longest = to_millis(kMaxTimeoutBoots * nominal) + kTimeoutMargin;
+    const auto health = pool_health_.find({machine.machine_type, machine.zone});
+    if (health == pool_health_.end()) return longest;
+    const bool others_came_up = health->second.last_boot >= machine.instance.provisioned_at;
+    if (!others_came_up) return longest;
+    const auto shortest = to_millis(kMinTimeoutBoots * nominal) + kTimeoutMargin;
+    return std::clamp(to_millis(health->second.boot_time.limit(nominal)), shortest, longest);
 }
 
-std::map<InstancePool, std::size_t> BootMonitor::allowances() const {
-    std::map<InstancePool, std::size_t> out;
-    for (const auto& [place, health] : places_) {
-        if (!health.failing) continue;
-        const bool avoided = context_.now() < health.avoid_until;
-        const auto allowance = avoided ? 0 : kProbes - std::min(kProbes, health.starting);
+std::map<InstancePool, std::size_t> BootMonitor::unhealthy_pool_limits() const {
+    std::map<InstancePool, std::size_t> limits;
+    for (const auto& [pool, health] : pool_health_) {
+        if (!health.unhealthy) continue;
+        const bool in_backoff = context_.now() < health.backoff_until;
+        const auto limit = in_backoff ? 0 : kProbes - std::min(kProbes, health.booting);
         for (const bool spot : {false, true}) {
-            out[{place.machine_type, place.zone, spot}] = allowance;
+            limits[{pool.machine_type, pool.zone, spot}] = limit;
         }
     }
-    return out;
+    return limits;
 }
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/boot_monitor.hpp
+++ b/src/provisioning/boot_monitor.hpp
@@ -1,78 +1,88 @@
-// Follows the machines that have been rented and are not up yet.
-//
-// How long a machine may take is learnt for each type and zone from those that came up; the cloud's
-// own figure is only the first estimate. A machine that takes longer is overdue: it no longer
-// counts as capacity, so that another is rented, but only as many at a time as a stated share of
-// the fleet, so that a cloud that is slow everywhere does not start a storm of rentals. A type and
-// zone from which nothing has come since its overdue machines were rented is left alone for a time
-// that doubles up to a limit, then asked for a few machines, and in full use again as soon as one
-// comes up.
+/// \file
+/// Follows the machines that have been requested and have not come up yet.
+///
+/// How long a boot may take is learnt for each machine type and zone from the machines that came
+/// up; the cloud's own figure is only the first estimate. A machine that takes longer is overdue.
+/// An overdue machine no longer counts as capacity, so that the fleet is scaled out by another in
+/// its place. Two bounds guard against request storms:
+///  - only a share of the fleet may be replaced at a time, for clouds that are slow everywhere;
+///  - a type and zone from which nothing has come since its machines became overdue is unhealthy.
+///    Nothing is requested from it for a backoff time that doubles up to a limit; after that, a few
+///    machines at a time as probes; and without bounds again as soon as one comes up.
 #pragma once
 
 #include <cstddef>
 #include <map>
 #include <string>
 
-#include "provisioning/scaling_plan.hpp"
+#include "provisioning/instance_pool.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
 #include "state/machine_type_catalog.hpp"
 
 namespace dunebridge::provisioning {
 
-// A smoothed mean and mean deviation, as for a transport's retransmission timeout.
+/// Smoothed mean and mean deviation of boot times, as for a transport's retransmission timeout.
 struct BootTimeEstimate {
-    double mean_s = 0;
-    double deviation_s = 0;
-    bool learnt = false;
+    Seconds mean{0};
+    Seconds deviation{0};
+    bool learnt = false;  ///< false: nothing observed, the nominal time stands for the mean
 
-    void observe(double boot_s, double nominal_s);
-    // After which a machine is overdue.
-    double limit_s(double nominal_s) const;
+    /// A machine came up after this boot time, where the cloud states the nominal one.
+    void observe(Seconds boot_time, Seconds nominal);
+    /// The time after which a machine that is not up is overdue.
+    Seconds limit(Seconds nominal) const;
 };
 
+/// Judges machines that boot: which are overdue, which may be replaced, and which pools are
+/// unhealthy. Writes InstanceStatus::boot_tracked, overdue and replacement_allowed. Used by the
+/// leader alone; the references must outlive it.
 class BootMonitor {
   public:
-    BootMonitor(sansio::Context& port, state::ClusterState& cluster_state,
-                const state::MachineTypeCatalog& types)
-        : context_(port), state_(cluster_state), types_(types) {}
+    BootMonitor(sansio::Context& context, state::ClusterState& cluster_state,
+                const state::MachineTypeCatalog& machine_types)
+        : context_(context), state_(cluster_state), machine_types_(machine_types) {}
 
-    // Another term begins: what was observed stays, what is under way is judged anew.
+    /// Another term begins: learnt boot times are kept, pools count as healthy until machines are
+    /// judged anew.
     void reset();
-    // Looks at all machines.
+    /// Judges all machines. To be called before the results below are used.
     void update();
-    // The machine has not come up in time, and another may be rented in its place.
-    bool to_replace(const state::Machine& machine) const;
-    // After so long a machine that has not come up is returned.
-    Millis release_after(const state::Machine& machine) const;
-    // How many machines may be rented now from the markets that have not delivered lately.
-    std::map<InstancePool, std::size_t> allowances() const;
+    /// Whether the machine is overdue and another may be requested in its place, as of the last
+    /// update().
+    bool replacement_allowed(const state::Machine& machine) const;
+    /// The time since its request after which a machine that has not come up is released.
+    Millis boot_timeout(const state::Machine& machine) const;
+    /// For each pool that is unhealthy, how many more machines may be requested from it now.
+    std::map<InstancePool, std::size_t> unhealthy_pool_limits() const;
 
   private:
-    struct Place {
+    // Boots are judged for spot and on-demand machines together.
+    struct TypeInZone {
         std::string machine_type;
         std::string zone;
-        auto operator<=>(const Place&) const = default;
+        auto operator<=>(const TypeInZone&) const = default;
     };
-    struct Health {
-        BootTimeEstimate estimate;
-        Instant last_delivery{};
-        bool failing = false;  // nothing has come since overdue machines were rented
-        Instant avoid_until{};
-        Millis pause{0};
-        std::size_t starting = 0;  // and not overdue
+    struct PoolHealth {
+        BootTimeEstimate boot_time;
+        Instant last_boot{};     // when a machine last came up
+        bool unhealthy = false;  // nothing has come up since overdue machines were requested
+        Instant backoff_until{};
+        Millis backoff{0};
+        std::size_t booting = 0;  // and not overdue
     };
 
     void record_boot(state::Machine& machine);
     void check_overdue(state::Machine& machine);
     void record_overdue(const state::Machine& machine);
-    double nominal_s(const state::Machine& machine) const;
-    const Health* find(const state::Machine& machine) const;
+    void allow_replacements(std::size_t fleet_size);
+    Seconds nominal_boot_time(const state::Machine& machine) const;
+    PoolHealth& health_of(const state::Machine& machine);
 
     sansio::Context& context_;
     state::ClusterState& state_;
-    const state::MachineTypeCatalog& types_;
-    std::map<Place, Health> places_;
+    const state::MachineTypeCatalog& machine_types_;
+    std::map<TypeInZone, PoolHealth> pool_health_;
 };
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <cmath>
-#include <limits>
 #include <utility>
 
 namespace dunebridge::provisioning {
@@ -73,20 +72,20 @@
         const auto* type = types_.find(machine.machine_type);
         const bool releasing =
             machine.instance.deleting || machine.cordoned || machine.preemption_at;
-        if (releasing || boot_monitor_.to_replace(machine) || !type) return false;
+        if (releasing || boot_monitor_.replacement_allowed(machine) || !type) return false;
         if (machine.spot && !demand.spot_allowed) return false;
         if (!demand.zone.empty() && machine.zone != demand.zone) return false;
-        return wire::can_hold(*type, demand.need, demand.machine_types);
+        return wire::can_hold(*type, demand.task_resources, demand.machine_types);
     });
 }
 
 Demand Provisioner::demand_of(const state::Job& job) const {
     Demand demand;
-    demand.need = job.task_resources();
+    demand.task_resources = job.task_resources();
     demand.spot_allowed = job.spec.spot_allowed;
     demand.machine_types = job.spec.machine_types;
     demand.zone = job.spec.zone.value_or("");
-    demand.seconds = run_time_estimator_.expected_s(job);
+    demand.run_time = Seconds(run_time_estimator_.expected_s(job));
     demand.tasks = static_cast<double>(job.placeable_tasks());
     return demand;
 }
@@ -102,13 +101,13 @@
     for (const auto& [id, job] : state_.jobs()) {
         if (job.state != JobState::active || job.waiting.empty() || job.is_blocked()) continue;
         auto demand = demand_of(job);
-        const double cores = demand.need.cores;
+        const double cores = demand.task_resources.cores;
         auto& left = room[job.spec.team];
         if (cores > 0) demand.tasks = std::min(demand.tasks, std::floor(left / cores));
         if (demand.tasks <= 0) continue;
-        demand.fits_somewhere = fits_some_machine(demand);
+        demand.fits_existing_machine = fits_some_machine(demand);
         // For a job that fails everywhere nothing is rented that others do not need.
-        if (job.failures.faulty && demand.fits_somewhere) continue;
+        if (job.failures.faulty && demand.fits_existing_machine) continue;
         left -= demand.tasks * cores;
         out.push_back(std::move(demand));
     }
@@ -128,39 +127,41 @@
 
 // ---- size ----
 
-Capacity Provisioner::capacity_of(const Machine& machine) const {
+MachineCapacity Provisioner::capacity_of(const Machine& machine) const {
     const auto* type = types_.find(machine.machine_type);
     const auto& worker = machine.worker;
     // Up long ago by the list, and yet without a report in this term: most likely gone.
     const bool lost =
         !worker.heartbeat_received && !machine.instance.starting && liveness_.is_late(machine);
     const bool releasing = machine.instance.deleting || machine.cordoned || machine.preemption_at ||
-                           boot_monitor_.to_replace(machine);
+                           boot_monitor_.replacement_allowed(machine);
     const bool idle = worker.heartbeat_received && machine.tasks.empty();
-    Capacity capacity;
+    MachineCapacity capacity;
     capacity.pool = {machine.machine_type, machine.zone, machine.spot};
     capacity.cores = type ? type->cores : 0;
-    capacity.idle_s = idle ? to_seconds(context_.now() - machine.idle_since) : 0.0;
+    capacity.idle_for = idle ? context_.now() - machine.idle_since : Millis(0);
     capacity.available = type && !releasing && !lost;
     return capacity;
 }
 
 ScalingInput Provisioner::sizing_input() {
     ScalingInput input;
-    input.types = types_.all();
+    input.machine_types = types_.all();
     input.demand = demand();
-    input.load_cores = load_cores_;
+    input.average_used_cores = load_cores_;
     input.headroom = config_.tuning.headroom;
-    input.boot_s = std::numeric_limits<double>::max();
-    for (const auto& type : input.types) input.boot_s = std::min(input.boot_s, type.startup_s);
-    input.idle_return_s = to_seconds(config_.tuning.idle_return);
+    input.shortest_boot = Seconds::max();
+    for (const auto& type : input.machine_types) {
+        input.shortest_boot = std::min(input.shortest_boot, Seconds(type.startup_s));
+    }
+    input.idle_timeout = config_.tuning.idle_return;
     for (const auto& [host, machine] : state_.machines()) {
         input.machines.push_back(capacity_of(machine));
         input.placed_cores += machine.used.cores;
     }
     input.pending = scale_outs_.pending();
-    input.blocked = scale_outs_.blocked();
-    input.allowances = boot_monitor_.allowances();
+    input.in_backoff = scale_outs_.in_backoff();
+    input.unhealthy_pool_limits = boot_monitor_.unhealthy_pool_limits();
     return input;
 }
 
@@ -193,15 +194,14 @@
     observe_load();
     boot_monitor_.update();
     const auto input = sizing_input();
-    const auto sizing = plan(input);
-    log_sizing(input, sizing);
+    const auto plan = plan_scaling(input);
+    log_sizing(input, plan);
     warn_if_too_large(input);
-    for (const auto& rent : sizing.rent) scale_outs_.request(rent.pool, rent.count);
+    for (const auto& step : plan.scale_out) scale_outs_.request(step.pool, step.count);
     if (context_.now() < no_return_before_) return;
     std::vector<Machine*> machines;
     for (auto& [host, machine] : state_.machines()) machines.push_back(&machine);
-    for (const auto index : sizing.scale_in)
-        scale_in_.release(*machines[index], ScaleInReason::idle);
+    for (const auto index : plan.scale_in) scale_in_.release(*machines[index], ScaleInReason::idle);
 }
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/provisioner.hpp
+++ b/src/provisioning/provisioner.hpp
@@ -43,7 +43,7 @@
     void resize();
     void observe_load();
     ScalingInput sizing_input();
-    Capacity capacity_of(const state::Machine& machine) const;
+    MachineCapacity capacity_of(const state::Machine& machine) const;
     std::vector<Demand> demand() const;
     Demand demand_of(const state::Job& job) const;
     bool fits_some_machine(const Demand& demand) const;
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -143,7 +143,7 @@
         return ScaleInReason::unlisted;
     if (known <= kUnreportedIdle) return std::nullopt;
     if (!machine.instance.starting) return ScaleInReason::unheard;
-    const bool stuck = now - machine.instance.provisioned_at > boot_monitor_.release_after(machine);
+    const bool stuck = now - machine.instance.provisioned_at > boot_monitor_.boot_timeout(machine);
     return stuck ? std::optional(ScaleInReason::stuck) : std::nullopt;
 }
 
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -64,7 +64,7 @@
     return out;
 }
 
-std::set<InstancePool> ScaleOut::blocked() const {
+std::set<InstancePool> ScaleOut::in_backoff() const {
     std::set<InstancePool> out;
     for (const auto& [pool, refusal] : refusals_) {
         if (context_.now() < refusal.until) out.insert(pool);
--- a/src/provisioning/scale_out.hpp
+++ b/src/provisioning/scale_out.hpp
@@ -31,7 +31,7 @@
     // Sends what is committed and not answered.
     void send();
     // Markets that have refused lately.
-    std::set<InstancePool> blocked() const;
+    std::set<InstancePool> in_backoff() const;
     // Machines asked for and not answered for, by market.
     std::map<InstancePool, std::size_t> pending() const;
 
--- /dev/null
+++ b/src/provisioning/scale_out_decision.cpp
@@ -0,0 +1,60 @@
+#include "provisioning/scale_out_decision.hpp"
+
+#include <algorithm>
+#include <cstddef>
+
+#include "provisioning/pool_selection.hpp"
+
+namespace dunebridge::provisioning {
+
+namespace {
+
+constexpr std::size_t kMaxMachinesPerPlan = 40;
+// On-demand machines cost a multiple of spot ones: they are worth it only for a backlog that would
+// outlast a boot by this factor.
+constexpr double kOnDemandBoots = 1.5;
+
+double core_seconds(const Demand& demand) {
+    return demand.tasks * demand.task_resources.cores * demand.run_time.count();
+}
+
+void add_machines_for_unplaceable_tasks(const ScalingInput& input, PlannedFleet& fleet) {
+    for (const auto& demand : input.demand) {
+        if (demand.fits_existing_machine || demand.tasks <= 0) continue;
+        const double cores = demand.task_resources.cores * demand.tasks;
+        const auto selected = select_pool(input, fleet, {&demand, cores, true});
+        if (selected) fleet.add(selected->pool, selected->cores);
+    }
+}
+
+// The demand with the most work decides what kind of machine is worth adding.
+const Demand* largest_demand(const ScalingInput& input) {
+    const auto it = std::max_element(
+        input.demand.begin(), input.demand.end(),
+        [](const Demand& a, const Demand& b) { return core_seconds(a) < core_seconds(b); });
+    return it == input.demand.end() ? nullptr : &*it;
+}
+
+void add_machines_up_to_target(const ScalingInput& input, double target_cores,
+                               double backlog_core_seconds, PlannedFleet& fleet) {
+    const Demand* demand = largest_demand(input);
+    const bool needs_on_demand = demand && !demand->spot_allowed;
+    while (fleet.cores() < target_cores && fleet.requested() < kMaxMachinesPerPlan) {
+        const bool long_backlog =
+            backlog_core_seconds > fleet.cores() * input.shortest_boot.count() * kOnDemandBoots;
+        const auto selected = select_pool(
+            input, fleet, {demand, target_cores - fleet.cores(), long_backlog || needs_on_demand});
+        if (!selected) break;
+        fleet.add(selected->pool, selected->cores);
+    }
+}
+
+}  // namespace
+
+void decide_scale_out(const ScalingInput& input, double target_cores, double backlog_core_seconds,
+                      PlannedFleet& fleet) {
+    add_machines_for_unplaceable_tasks(input, fleet);
+    add_machines_up_to_target(input, target_cores, backlog_core_seconds, fleet);
+}
+
+}  // namespace dunebridge::provisioning
--- a/src/provisioning/scaling_plan.hpp
+++ b/src/provisioning/scaling_plan.hpp
@@ -1,73 +1,77 @@
-// How large the fleet should be: pure decisions from demand, load and prices.
+/// \file
+/// How large the fleet should be: a pure function of demand, load and prices. It has no state and
+/// sends nothing; Provisioner collects its input and carries out its result.
 #pragma once
 
 #include <cstddef>
-#include <cstdint>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
-#include <tuple>
 #include <vector>
 
+#include "base/resources.hpp"
+#include "base/types.hpp"
+#include "provisioning/instance_pool.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::provisioning {
 
-// A place where the cloud may have machines: type, zone, spot or ordinary.
-struct InstancePool {
-    std::string machine_type;
-    std::string zone;
-    bool spot = false;
-    auto operator<=>(const InstancePool&) const = default;
-};
-
-// Like tasks that wait, decided as a class.
+/// Pending tasks of one job, which all need the same resources and are planned as a class.
 struct Demand {
-    Resources need;  // of one task
+    Resources task_resources;  ///< of one task
     bool spot_allowed = false;
-    std::optional<std::vector<std::string>> machine_types;  // none: any
-    std::string zone;                                       // empty: any
-    double tasks = 0;
-    double seconds = 0;           // expected run time of one task
-    bool fits_somewhere = false;  // a machine of the fleet, empty or not, could hold one
+    std::optional<std::vector<std::string>> machine_types;  ///< none: any type will do
+    std::string zone;                                       ///< empty: any zone will do
+    double tasks = 0;     ///< a whole number; a double as it is multiplied by cores
+    Seconds run_time{0};  ///< expected for one task
+    /// Some machine of the fleet could hold one such task if the machine were empty.
+    bool fits_existing_machine = false;
 };
 
-struct Capacity {
+/// What one machine of the fleet contributes.
+struct MachineCapacity {
     InstancePool pool;
     double cores = 0;
-    double idle_s = 0;       // 0 while it has tasks
-    bool available = false;  // up or starting, and not to be returned
+    Seconds idle_for{0};     ///< zero while the machine has tasks
+    bool available = false;  ///< up or booting, and not about to leave the fleet
 };
 
+/// Everything that a plan depends on.
 struct ScalingInput {
-    std::vector<wire::MachineType> types;
+    std::vector<wire::MachineType> machine_types;
     std::vector<Demand> demand;
-    std::vector<Capacity> machines;
-    std::map<InstancePool, std::size_t> pending;  // being rented
-    std::set<InstancePool> blocked;               // refused lately
-    // From markets that do not deliver, so many machines are rented at most, unless there is no
-    // other.
-    std::map<InstancePool, std::size_t> allowances;
-    double placed_cores = 0;
-    double load_cores = 0;  // lately observed average of cores in use and asked for
-    double headroom = 1.25;
-    double boot_s = 30;     // a backlog that is worked off sooner needs no new machine
-    double horizon_s = 40;  // within which the backlog should be worked off
-    double idle_return_s = 60;
+    std::vector<MachineCapacity> machines;
+    /// Machines that have been requested and that the cloud has not answered for yet.
+    std::map<InstancePool, std::size_t> pending;
+    /// Pools that have refused lately: nothing is requested from them.
+    std::set<InstancePool> in_backoff;
+    /// For pools whose machines have not come up lately: how many more may be requested. A limit
+    /// is exceeded only where no other pool is left.
+    std::map<InstancePool, std::size_t> unhealthy_pool_limits;
+    double placed_cores = 0;        ///< held by tasks now
+    double average_used_cores = 0;  ///< smoothed over the last minute or so
+    double headroom = 1.25;         ///< capacity wanted over the average in use
+    Seconds shortest_boot{30};      ///< a backlog that is worked off sooner needs no new machine
+    Seconds backlog_horizon{40};    ///< within which the backlog should be worked off
+    Seconds idle_timeout{60};       ///< after which an idle machine may be released
 };
 
+/// So many machines to be requested from one pool.
 struct ScaleOutStep {
     InstancePool pool;
     std::size_t count = 0;
 };
 
+/// What is to be done.
 struct ScalingPlan {
     double target_cores = 0;
-    std::vector<ScaleOutStep> rent;
-    std::vector<std::size_t> scale_in;  // indices into machines
+    std::vector<ScaleOutStep> scale_out;  ///< one step a pool, in the order of choice
+    std::vector<std::size_t> scale_in;    ///< indices into ScalingInput::machines
 };
 
-ScalingPlan plan(const ScalingInput& in);
+/// Decides which machines to request and which to release. Deterministic: the same input gives the
+/// same plan.
+ScalingPlan plan_scaling(const ScalingInput& input);
 
 }  // namespace dunebridge::provisioning
--- a/src/state/model.hpp
+++ b/src/state/model.hpp
@@ -191,7 +191,8 @@
     // How it comes up (provisioning/boot_monitor.hpp).
     bool boot_tracked = false;  // rented in this term, and not up yet
     bool overdue = false;       // it should be up
-    bool replaced = false;      // overdue, and another may take its place in the fleet
+    // Overdue, and the fleet may be scaled out by another machine in its place.
+    bool replacement_allowed = false;
     bool listed = false;
     std::uint32_t missed_listings = 0;
     bool failed = false;
