--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,5 @@
-// dunebridge: a cluster scheduler. See README.md.
+/// \file
+/// The program: command line, logging, and the event loop. See README.md.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -22,16 +23,14 @@
     if (level == "error") return LogLevel::error;
     if (level == "info" || level.empty()) return LogLevel::info;
     if (level == "debug") return LogLevel::debug;
-    throw dunebridge::app::SettingsError("LOG_LEVEL: must be error, info or debug");
+    throw dunebridge::app::SettingsError("LOG_LEVEL", "must be error, info or debug");
 }
 
 void set_up_logging(LogLevel level) {
     auto logger = std::make_shared<spdlog::logger>(
         "dunebridge", std::make_shared<spdlog::sinks::stderr_sink_st>());
     logger->set_pattern("%Y-%m-%dT%H:%M:%S.%eZ level=%l %v", spdlog::pattern_time_type::utc);
-    logger->set_level(level == LogLevel::error  ? spdlog::level::err
-                      : level == LogLevel::info ? spdlog::level::info
-                                                : spdlog::level::debug);
+    logger->set_level(dunebridge::app::to_spdlog(level));
     spdlog::set_default_logger(std::move(logger));
 }
 
--- a/src/app/runtime.cpp
+++ b/src/app/runtime.cpp
@@ -16,13 +16,14 @@
 constexpr std::uint64_t kBackIds = std::uint64_t{1} << 62;
 constexpr auto kSweepEvery = std::chrono::seconds(5);
 constexpr auto kIdleLimit = std::chrono::seconds(60);
-// CommandBatch to one worker come in bursts; a connection kept for longer does not pay.
+// Commands to one worker come in bursts; a connection kept for longer does not pay.
 constexpr auto kIdleCommands = std::chrono::seconds(20);
 constexpr Millis kIdleFront{60000};
 // A timer that fires so late shows that the process stood still, or had no processor time.
 constexpr Millis kGap{1000};
 // To read what has queued up in the sockets meanwhile, before anyone is judged by the clock.
 constexpr Millis kCatchUp{20};
+}  // namespace
 
 spdlog::level::level_enum to_spdlog(sansio::LogLevel level) {
     switch (level) {
@@ -34,7 +35,6 @@
             return spdlog::level::debug;
     }
 }
-}  // namespace
 
 Runtime::Runtime(const config::Config& config, sansio::LogLevel level, std::uint64_t seed)
     : config_(config),
@@ -72,7 +72,7 @@
         std::chrono::duration_cast<Millis>(std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-// CommandBatch that come in the same turn of the loop are worked through as one batch.
+// Commands that come in the same turn of the loop are worked through as one batch.
 void Runtime::post(controller::Command&& command) {
     queue_.push_back(std::move(command));
     if (step_posted_) return;
--- a/src/app/runtime.hpp
+++ b/src/app/runtime.hpp
@@ -1,6 +1,8 @@
 // Input and output around the core: carries requests and replies in, and effects out.
 #pragma once
 
+#include <spdlog/common.h>
+
 #include <memory>
 #include <vector>
 
@@ -11,6 +13,9 @@
 
 namespace dunebridge::app {
 
+/// The level of the logging library that stands for ours.
+spdlog::level::level_enum to_spdlog(sansio::LogLevel level);
+
 class Runtime {
   public:
     Runtime(const config::Config& config, sansio::LogLevel level, std::uint64_t seed);
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -1,19 +1,16 @@
-// Settings: the platform's TOML file and the operators' optional XML file.
+/// \file
+/// Settings: the platform's TOML file and the operators' optional XML file. This is the only place
+/// that knows the names of the platform's settings.
 #pragma once
 
-#include <stdexcept>
 #include <string>
 
+#include "app/settings_error.hpp"
 #include "config/config.hpp"
 
 namespace dunebridge::app {
 
-struct SettingsError : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
-
-// Reads both files. Throws SettingsError naming the file and the field. `operators_path` may be
-// empty: then the defaults hold.
+/// Reads both files. Throws SettingsError. If `operators_path` is empty, the defaults hold.
 config::Config load_settings(const std::string& path, const std::string& operators_path);
 
 }  // namespace dunebridge::app
