--- a/tests/compound_fault_test.cpp
+++ b/tests/compound_fault_test.cpp
@@ -13,150 +13,150 @@
 namespace dunebridge::sim {
 namespace {
 
-using WorkerFault = SimulatedCluster::WorkerFault;
+using WorkerFault = FaultInjector::WorkerFault;
 
 Millis s(double seconds) { return from_seconds(seconds); }
 
-struct Night {
+struct Scenario {
     const char* name;
-    void (*bring_about)(SimulatedCluster&);
+    void (*inject)(SimulatedCluster&);
     void (*options)(ScenarioOptions&) = [](ScenarioOptions&) {};
 };
 
-void PrintTo(const Night& night, std::ostream* out) { *out << night.name; }
+void PrintTo(const Scenario& scenario, std::ostream* out) { *out << scenario.name; }
 
-void restart_in_turn(SimulatedCluster& world) {
-    for (std::size_t node = 0; node < world.nodes(); ++node) {
-        world.crash_node(node, s(4));
-        world.run_for(s(12));
+void restart_in_turn(SimulatedCluster& cluster) {
+    for (std::size_t node = 0; node < cluster.controllers().size(); ++node) {
+        cluster.faults().crash_controller(node, s(4));
+        cluster.run_for(s(12));
     }
 }
 
-const Night kNights[] = {
+const Scenario kScenarios[] = {
     {"MachinesLateEverywhere",
      [](SimulatedCluster& w) {
-         w.inject_boot_fault(5, 0.2, s(90));
-         w.kill_machines(60);
+         w.faults().inject_boot_fault(5, 0.2, s(90));
+         w.faults().kill_machines(60);
          w.run_for(s(100));
      }},
     {"NoMachinesFromOneZoneWhileTheOtherIsCutOff",
      [](SimulatedCluster& w) {
-         w.inject_boot_fault(1, 1, s(90), "a");
-         w.cut_zone("b", w.leader(), s(30));
-         w.kill_machines(40);
+         w.faults().inject_boot_fault(1, 1, s(90), "a");
+         w.faults().partition_zone("b", w.controllers().leader(), s(30));
+         w.faults().kill_machines(40);
          w.run_for(s(100));
      }},
     {"MachinesLateOverAChangeOfLeader",
      [](SimulatedCluster& w) {
-         w.inject_boot_fault(6, 0.3, s(60));
-         w.kill_machines(50);
+         w.faults().inject_boot_fault(6, 0.3, s(60));
+         w.faults().kill_machines(50);
          w.run_for(s(10));
-         w.crash_leader(s(4));
+         w.faults().crash_leader(s(4));
          w.run_for(s(60));
      }},
     {"AllSilentForOverAMinute",
      [](SimulatedCluster& w) {
-         w.cancel_running(3);
-         w.crash_all(s(80));
+         w.faults().cancel_running(3);
+         w.faults().crash_all(s(80));
          w.run_for(s(90));
      }},
     {"AllStandStillForOverAMinute",
      [](SimulatedCluster& w) {
-         w.cancel_running(3);
+         w.faults().cancel_running(3);
          w.run_for(s(0.1));
-         w.stall_all_processes(s(70));
+         w.faults().stall_all_processes(s(70));
          w.run_for(s(80));
      }},
     {"AllSilentWithAnOutageBeyondTheTimeOfCancellations",
      [](SimulatedCluster& w) {
-         w.kv_store_outage(s(60));
-         w.cancel_running(4);
+         w.faults().kv_store_outage(s(60));
+         w.faults().cancel_running(4);
          w.run_for(s(5));
-         w.crash_all(s(62));
+         w.faults().crash_all(s(62));
          w.run_for(s(70));
      }},
     {"OneSilentForOverAMinuteThenAnother",
      [](SimulatedCluster& w) {
-         const auto first = w.leader();
-         w.crash_node(first, s(90));
+         const auto first = w.controllers().leader();
+         w.faults().crash_controller(first, s(90));
          w.run_for(s(80));
-         w.crash_leader(s(70));
-         w.cancel_running(3);
+         w.faults().crash_leader(s(70));
+         w.faults().cancel_running(3);
          w.run_for(s(80));
      }},
     {"ALeaderStopsInAnElectionALoadAndATransaction",
      [](SimulatedCluster& w) {
          for (int i = 0; i < 6; ++i) {
-             w.crash_leader(s(0.2));
+             w.faults().crash_leader(s(0.2));
              // While the others elect, while the new leader loads, and while it commits.
              w.run_for(Millis(i % 3 == 0 ? 900 : i % 3 == 1 ? 3300 : 5000));
-             const auto leader = w.leader();
-             w.stall_process(leader < w.nodes() ? leader : 1, s(1 + 6 * i));
-             w.cancel_running(1);
+             const auto leader = w.controllers().leader();
+             w.faults().stall_process(leader < w.controllers().size() ? leader : 1, s(1 + 6 * i));
+             w.faults().cancel_running(1);
              w.run_for(s(9));
          }
      }},
     {"AStoppedLeaderAndLateCommands",
      [](SimulatedCluster& w) {
-         w.delay_commands(s(9));
+         w.faults().delay_commands(s(9));
          w.run_for(s(1));
-         w.stall_process(w.leader(), s(18));
+         w.faults().stall_process(w.controllers().leader(), s(18));
          w.run_for(s(2));
-         w.cancel_running(5);
+         w.faults().cancel_running(5);
          w.run_for(s(30));
      }},
     {"AStoppedLeaderAndLateWrites",
      [](SimulatedCluster& w) {
-         w.delay_transactions(0.3, s(30));
+         w.faults().delay_transactions(0.3, s(30));
          w.run_for(s(5));
-         w.stall_process(w.leader(), s(7));
+         w.faults().stall_process(w.controllers().leader(), s(7));
          w.run_for(s(2));
-         w.cancel_running(4);
+         w.faults().cancel_running(4);
          w.run_for(s(40));
      }},
     {"AStoppedLeaderWhileOthersConfirmCancellations",
      [](SimulatedCluster& w) {
-         w.stall_process(w.leader(), s(2.5));
+         w.faults().stall_process(w.controllers().leader(), s(2.5));
          w.run_for(s(0.2));
-         w.cancel_running(6);
+         w.faults().cancel_running(6);
          w.run_for(s(10));
-         w.stall_process(w.leader(), s(50));
+         w.faults().stall_process(w.controllers().leader(), s(50));
          w.run_for(s(0.2));
-         w.cancel_running(6);
+         w.faults().cancel_running(6);
          w.run_for(s(60));
      },
      [](ScenarioOptions& o) { o.task_s = 120; }},
     {"MassesOfPollsAndARollingRestart",
      [](SimulatedCluster& w) {
-         w.poll_storm(8, s(50));
+         w.faults().poll_storm(8, s(50));
          restart_in_turn(w);
-         w.cancel_running(4);
+         w.faults().cancel_running(4);
          w.run_for(s(20));
      }},
     {"GuestsWhileTheStateServiceIsSlowAndWritesLag",
      [](SimulatedCluster& w) {
          w.run_for(s(10));
-         w.slow_kv_store(s(40));
-         w.delay_transactions(0.1, s(40));
+         w.faults().slow_kv_store(s(40));
+         w.faults().delay_transactions(0.1, s(40));
          w.run_for(s(30));
-         w.crash_leader(s(4));
+         w.faults().crash_leader(s(4));
          w.run_for(s(30));
      },
      [](ScenarioOptions& o) { o.guest_team = true; }},
     {"GuestsDuringTheLossOfAZone",
      [](SimulatedCluster& w) {
          w.run_for(s(15));
-         w.cut_zone("a", w.leader(), s(30));
-         w.kill_machines(30);
+         w.faults().partition_zone("a", w.controllers().leader(), s(30));
+         w.faults().kill_machines(30);
          w.run_for(s(50));
      },
      [](ScenarioOptions& o) { o.guest_team = true; }},
     {"FaultyJobsWhileATeamIsAtItsLimitAndMachinesHang",
      [](SimulatedCluster& w) {
-         w.inject_worker_fault(WorkerFault::hung, 40, s(12));
+         w.faults().inject_worker_fault(WorkerFault::hung, 40, s(12));
          w.run_for(s(5));
-         w.cancel_running(4);
-         w.crash_leader(s(3));
+         w.faults().cancel_running(4);
+         w.faults().crash_leader(s(3));
          w.run_for(s(40));
      },
      [](ScenarioOptions& o) {
@@ -165,7 +165,7 @@
      }},
 };
 
-ScenarioOptions night_options(std::uint64_t seed) {
+ScenarioOptions compound_options(std::uint64_t seed) {
     ScenarioOptions options;
     options.seed = seed;
     options.fault_every_s = 0;
@@ -174,21 +174,21 @@
     return options;
 }
 
-class CompoundFaults : public testing::TestWithParam<std::tuple<Night, std::uint64_t>> {};
+class CompoundFaults : public testing::TestWithParam<std::tuple<Scenario, std::uint64_t>> {};
 
 TEST_P(CompoundFaults, RulesHoldAndJobsEnd) {
-    const auto& [night, seed] = GetParam();
-    auto options = night_options(seed);
-    night.options(options);
-    SimulatedCluster world(options);
-    world.run_for(s(45));
-    night.bring_about(world);
-    world.run();
-    expect_completed(world);
-    EXPECT_EQ(world.starts_long_after_cancellation(), 0u);
+    const auto& [scenario, seed] = GetParam();
+    auto options = compound_options(seed);
+    scenario.options(options);
+    SimulatedCluster cluster(options);
+    cluster.run_for(s(45));
+    scenario.inject(cluster);
+    cluster.run();
+    expect_completed(cluster);
+    EXPECT_EQ(cluster.statistics().starts_long_after_cancellation, 0u);
 }
 INSTANTIATE_TEST_SUITE_P(Named, CompoundFaults,
-                         testing::Combine(testing::ValuesIn(kNights),
+                         testing::Combine(testing::ValuesIn(kScenarios),
                                           testing::Range<std::uint64_t>(1, 4)),
                          [](const auto& p) {
                              return std::string(std::get<0>(p.param).name) + "_" +
@@ -196,75 +196,75 @@
                          });
 
 // The roll-out from the version in production during each of them.
-class CompoundFaultsDuringRollout : public testing::TestWithParam<Night> {};
+class CompoundFaultsDuringRollout : public testing::TestWithParam<Scenario> {};
 
 TEST_P(CompoundFaultsDuringRollout, RulesHoldAndJobsEnd) {
-    auto options = night_options(9);
+    auto options = compound_options(9);
     options.old_format = config::kChunkFormat;
     GetParam().options(options);
-    SimulatedCluster world(options);
-    world.run_for(s(40));
-    world.upgrade(0, s(3));
-    world.run_for(s(5));
-    GetParam().bring_about(world);
-    for (std::size_t node = 1; node < world.nodes(); ++node) {
-        world.upgrade(node, s(3));
-        world.run_for(s(8));
+    SimulatedCluster cluster(options);
+    cluster.run_for(s(40));
+    cluster.faults().upgrade(0, s(3));
+    cluster.run_for(s(5));
+    GetParam().inject(cluster);
+    for (std::size_t node = 1; node < cluster.controllers().size(); ++node) {
+        cluster.faults().upgrade(node, s(3));
+        cluster.run_for(s(8));
     }
-    world.run();
-    expect_completed(world);
-    EXPECT_EQ(world.format(), config::kNewestFormat);
+    cluster.run();
+    expect_completed(cluster);
+    EXPECT_EQ(cluster.record_format(), config::kNewestFormat);
 }
-INSTANTIATE_TEST_SUITE_P(Named, CompoundFaultsDuringRollout, testing::ValuesIn(kNights),
+INSTANTIATE_TEST_SUITE_P(Named, CompoundFaultsDuringRollout, testing::ValuesIn(kScenarios),
                          [](const auto& p) { return std::string(p.param.name); });
 
 // Hundreds of small jobs that are asked about by the thousand: what users ask stays within its part
 // of the state service's rate, so that two changes of leader cost two terms.
 TEST(PollStorm, LeaveTheLeaderItsPartOfTheRate) {
-    auto options = night_options(3);
+    auto options = compound_options(3);
     options.jobs = 400;
     options.most_tasks = 1;
     options.machines = 40;
-    SimulatedCluster world(options);
-    world.run_for(s(110));
-    world.poll_storm(8, s(70));
+    SimulatedCluster cluster(options);
+    cluster.run_for(s(110));
+    cluster.faults().poll_storm(8, s(70));
     for (int i = 0; i < 2; ++i) {
-        world.run_for(s(15));
-        world.crash_leader(s(4));
+        cluster.run_for(s(15));
+        cluster.faults().crash_leader(s(4));
     }
-    world.run_for(s(40));
-    EXPECT_EQ(world.terms(), 3u);
-    EXPECT_LT(world.state().refusals() * 100, world.state().requests());
-    world.run();
-    expect_completed(world);
+    cluster.run_for(s(40));
+    EXPECT_EQ(cluster.statistics().terms, 3u);
+    EXPECT_LT(cluster.kv_store().refusals() * 100, cluster.kv_store().requests());
+    cluster.run();
+    expect_completed(cluster);
 }
 
 // A fleet of hundreds in CI; the same day at any size is `fleet MACHINES` (CONTRIBUTING.md).
 TEST(LargeFleet, KeepsItsTasksOverAChangeOfLeaderAndASilenceOfAll) {
-    SimulatedCluster world(fleet_options(400));
-    const auto day = run_fleet_day(world);
-    expect_completed(world);
-    EXPECT_GT(day.most_up, 300u);
-    EXPECT_EQ(day.killed_by_lease, 0u);
-    EXPECT_EQ(world.state().violations(), 0u);
-    EXPECT_LE(world.state().most_changes_in_a_second(), 140);
+    SimulatedCluster cluster(large_fleet_options(400));
+    const auto result = run_large_fleet_scenario(cluster);
+    expect_completed(cluster);
+    EXPECT_GT(result.most_up, 300u);
+    EXPECT_EQ(result.killed_by_lease, 0u);
+    EXPECT_EQ(cluster.kv_store().violations(), 0u);
+    EXPECT_LE(cluster.kv_store().most_changes_in_a_second(), 140);
 }
 
 // Jobs with a mistake neither cost healthy machines nor draw new ones by the dozen.
 TEST(FaultyJobs, CostNoMachines) {
-    auto options = night_options(5);
+    auto options = compound_options(5);
     options.jobs = 40;
     options.machines = 30;
     options.failing_jobs_percent = 25;
-    SimulatedCluster world(options);
-    world.run();
-    expect_completed(world);
-    EXPECT_EQ(world.returned_with_tasks(), 0u);
+    SimulatedCluster cluster(options);
+    cluster.run();
+    expect_completed(cluster);
+    EXPECT_EQ(cluster.statistics().scaled_in_with_tasks, 0u);
     auto without = options;
     without.failing_jobs_percent = 0;
     SimulatedCluster healthy(without);
     healthy.run();
-    EXPECT_LT(world.machines_rented(), healthy.machines_rented() * 2);
+    EXPECT_LT(cluster.cloud().rented(), healthy.cloud().rented() * 2);
 }
 
 // Days of these troubles and all older ones, drawn by a seed.
@@ -272,9 +272,9 @@
 
 TEST_P(RandomCompoundFaults, RulesHoldAndJobsEnd) {
     const auto seed = GetParam();
-    SimulatedCluster world(random_compound_options(seed));
-    run_random_compound_scenario(world);
-    expect_completed(world);
+    SimulatedCluster cluster(random_compound_options(seed));
+    run_random_compound_scenario(cluster);
+    expect_completed(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomCompoundFaults, testing::Range<std::uint64_t>(9000, 9024));
 
--- a/tests/dependency_scenario_test.cpp
+++ b/tests/dependency_scenario_test.cpp
@@ -16,9 +16,9 @@
     options.pipelines = 8;
     options.fan_in = 24;
     options.limits = config::KvLimits({200, 80, 16, 48}, config::KvLimits::Set{200, 80, 2, 5});
-    SimulatedCluster world(options);
-    run_random_scenario(world, GetParam());
-    expect_completed(world);
+    SimulatedCluster cluster(options);
+    run_random_scenario(cluster, GetParam());
+    expect_completed(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, ManyAncestorsScenarios, testing::Range<std::uint64_t>(9000, 9012));
 
@@ -27,9 +27,9 @@
 TEST_P(DependencyScenarios, RulesHoldAndJobsEnd) {
     auto options = random_scenario_options(GetParam());
     options.pipelines = 12;
-    SimulatedCluster world(options);
-    run_random_scenario(world, GetParam());
-    expect_completed(world);
+    SimulatedCluster cluster(options);
+    run_random_scenario(cluster, GetParam());
+    expect_completed(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, DependencyScenarios, testing::Range<std::uint64_t>(8000, 8016));
 
--- a/tests/digest.cpp
+++ b/tests/digest.cpp
@@ -20,11 +20,11 @@
         auto options = random_scenario_options(seed);
         if (seed % 4 == 2) options.old_format = config::kChunkFormat;
         if (seed % 8 == 3) options.old_format = config::kRangeFormat;
-        SimulatedCluster world(options);
-        run_random_scenario(world, seed);
-        std::cout << seed << " " << std::hex << world.digest() << std::dec << " "
-                  << world.violated_invariants().size() << " " << world.unfinished_jobs()
-                  << std::endl;
+        SimulatedCluster cluster(options);
+        run_random_scenario(cluster, seed);
+        std::cout << seed << " " << std::hex << cluster.statistics().digest << std::dec << " "
+                  << cluster.violated_invariants().size() << " "
+                  << cluster.users().unfinished_jobs() << std::endl;
     }
     return 0;
 }
--- a/tests/sim/expectations.hpp
+++ b/tests/sim/expectations.hpp
@@ -8,10 +8,10 @@
 namespace dunebridge::sim {
 
 // No rule is broken, every job is over, and more than so many tasks were started.
-inline void expect_completed(const SimulatedCluster& world, std::size_t starts = 0) {
-    EXPECT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
-    EXPECT_EQ(world.unfinished_jobs(), 0u) << world.describe_unfinished();
-    EXPECT_GT(world.tasks_started(), starts);
+inline void expect_completed(const SimulatedCluster& cluster, std::size_t starts = 0) {
+    EXPECT_TRUE(cluster.violated_invariants().empty()) << cluster.describe_violations();
+    EXPECT_EQ(cluster.users().unfinished_jobs(), 0u) << cluster.users().describe_unfinished();
+    EXPECT_GT(cluster.statistics().tasks_started, starts);
 }
 
 }  // namespace dunebridge::sim
--- a/tests/sim/large_fleet_scenario.hpp
+++ b/tests/sim/large_fleet_scenario.hpp
@@ -8,7 +8,7 @@
 
 namespace dunebridge::sim {
 
-inline ScenarioOptions fleet_options(std::size_t machines) {
+inline ScenarioOptions large_fleet_options(std::size_t machines) {
     ScenarioOptions options;
     options.seed = 21;
     options.large_fleet = true;
@@ -20,27 +20,27 @@
     return options;
 }
 
-struct LargeFleetScenario {
+struct LargeFleetResult {
     std::size_t most_up = 0;
     std::size_t killed_by_lease = 0;
 };
 
-inline LargeFleetScenario run_fleet_day(SimulatedCluster& world) {
-    LargeFleetScenario day;
+inline LargeFleetResult run_large_fleet_scenario(SimulatedCluster& cluster) {
+    LargeFleetResult result;
     const auto run_for = [&](int seconds) {
         for (int i = 0; i < seconds; i += 5) {
-            world.run_for(Millis(5000));
-            day.most_up = std::max(day.most_up, world.machines_up());
+            cluster.run_for(Millis(5000));
+            result.most_up = std::max(result.most_up, cluster.machines_up());
         }
     };
     run_for(200);
-    world.crash_leader();
+    cluster.faults().crash_leader();
     run_for(30);
-    world.crash_all(Millis(15000));
+    cluster.faults().crash_all(Millis(15000));
     run_for(60);
-    day.killed_by_lease = world.killed_by_lease();
-    world.run();
-    return day;
+    result.killed_by_lease = cluster.killed_by_lease();
+    cluster.run();
+    return result;
 }
 
 }  // namespace dunebridge::sim
--- a/tests/sim/random_faults.cpp
+++ b/tests/sim/random_faults.cpp
@@ -1,122 +1,121 @@
-// The faults that come by chance in the simulated world.
-#include <algorithm>
+#include "sim/random_faults.hpp"
 
-#include "sim/simulated_cluster.hpp"
+#include <algorithm>
 
 namespace dunebridge::sim {
 
-void SimulatedCluster::plan_fault() {
-    const auto mean = options_.fault_every_s * 1000;
-    clock_.after(Millis(static_cast<std::int64_t>(mean / 2) +
-                        static_cast<std::int64_t>(rng_() % static_cast<std::uint64_t>(mean))),
-                 [this] {
-                     if (clock_.now() > faults_end_) return;
-                     fault();
-                     plan_fault();
-                 });
+RandomFaults::RandomFaults(const ClusterParts& parts, FaultInjector& injector)
+    : sim_(parts.simulation),
+      controllers_(parts.controllers),
+      network_(parts.network),
+      workers_(parts.machines),
+      cloud_(parts.cloud),
+      injector_(injector) {}
+
+void RandomFaults::schedule_faults() {
+    const auto mean = sim_.options.fault_every_s * 1000;
+    sim_.clock.after(
+        Millis(static_cast<std::int64_t>(mean / 2) +
+               static_cast<std::int64_t>(sim_.rng() % static_cast<std::uint64_t>(mean))),
+        [this] {
+            if (sim_.clock.now() > sim_.faults_end) return;
+            inject_fault();
+            schedule_faults();
+        });
 }
 
-// What a fault is drawn with.
-struct SimulatedCluster::Fault {
-    std::size_t node = 0;
-    Cut cut = Cut::drop;
-    Millis span{};
-    Instant until{};
-};
-
-FakeWorker* SimulatedCluster::any_worker() {
+FakeWorker* RandomFaults::any_worker() {
     std::vector<FakeWorker*> alive;
     for (auto& [host, worker] : workers_) {
         if (!worker->gone()) alive.push_back(worker.get());
     }
-    return alive.empty() ? nullptr : alive[rng_() % alive.size()];
+    return alive.empty() ? nullptr : alive[sim_.rng() % alive.size()];
 }
 
-Millis SimulatedCluster::short_restart() {
-    return Millis(100 + static_cast<std::int64_t>(rng_() % 4000));
+Millis RandomFaults::short_restart() {
+    return Millis(100 + static_cast<std::int64_t>(sim_.rng() % 4000));
 }
 
-// Cuts the node off from those named.
-SimulatedCluster::FaultAction SimulatedCluster::cut_node_from(bool state, bool nodes,
-                                                              bool workers) {
-    return [state, nodes, workers](SimulatedCluster& world, const Fault& fault) {
-        auto& node = world.nodes_[fault.node];
-        if (state) node.from_state = fault.cut;
-        if (nodes) node.from_nodes = fault.cut;
-        if (workers) node.from_workers = fault.cut;
-        node.cut_until = fault.until;
+// Partitions the controller from those named.
+RandomFaults::FaultAction RandomFaults::partition_from(bool state, bool nodes, bool workers) {
+    return [state, nodes, workers](RandomFaults& self, const Fault& fault) {
+        auto& links = self.network_.links(fault.node);
+        if (state) links.kv_store = fault.link_fault;
+        if (nodes) links.peers = fault.link_fault;
+        if (workers) links.workers = fault.link_fault;
+        links.until = fault.until;
     };
 }
 
-// Of controllers, the state service and the cloud.
-std::vector<SimulatedCluster::FaultAction> SimulatedCluster::service_faults() {
-    return {
-        [](SimulatedCluster& world, const Fault& fault) {
-            world.crash(fault.node, world.short_restart());
-        },
-        [](SimulatedCluster& world, const Fault&) {
-            for (std::size_t n = 0; n < world.nodes_.size(); ++n) {
-                world.crash(n, world.short_restart());
-            }
-        },
-        cut_node_from(true, false, false),
-        cut_node_from(false, false, true),
-        cut_node_from(true, true, true),
-        [](SimulatedCluster& world, const Fault& fault) {
-            world.nodes_[fault.node].refused = true;
-            world.nodes_[fault.node].cut_until = fault.until;
-        },
-        [](SimulatedCluster& world, const Fault& fault) { world.kv_store_outage(fault.span / 2); },
-        [](SimulatedCluster& world, const Fault& fault) {
-            world.cloud_.set_outage(true);
-            world.clock_.after(fault.span, [&world] { world.cloud_.set_outage(false); });
-        }};
+// Faults of controllers, the key-value store and the cloud.
+std::vector<RandomFaults::FaultAction> RandomFaults::service_faults() {
+    return {[](RandomFaults& self, const Fault& fault) {
+                self.controllers_.crash(fault.node, self.short_restart());
+            },
+            [](RandomFaults& self, const Fault&) {
+                for (std::size_t n = 0; n < self.controllers_.size(); ++n) {
+                    self.controllers_.crash(n, self.short_restart());
+                }
+            },
+            partition_from(true, false, false),
+            partition_from(false, false, true),
+            partition_from(true, true, true),
+            [](RandomFaults& self, const Fault& fault) {
+                self.network_.links(fault.node).refused = true;
+                self.network_.links(fault.node).until = fault.until;
+            },
+            [](RandomFaults& self, const Fault& fault) {
+                self.injector_.kv_store_outage(fault.span / 2);
+            },
+            [](RandomFaults& self, const Fault& fault) {
+                self.cloud_.set_outage(true);
+                self.sim_.clock.after(fault.span, [&self] { self.cloud_.set_outage(false); });
+            }};
 }
 
-// Of machines and of what passes between them and the controllers.
-std::vector<SimulatedCluster::FaultAction> SimulatedCluster::machine_faults() {
-    return {
-        [](SimulatedCluster& world, const Fault& fault) {
-            if (auto* worker = world.any_worker()) {
-                world.worker_cuts_[worker->host()] = {fault.cut, fault.until};
-            }
-        },
-        [](SimulatedCluster& world, const Fault& fault) {
-            if (auto* worker = world.any_worker()) worker->hang(fault.span);
-        },
-        [](SimulatedCluster& world, const Fault&) { world.preempt_with_notice(); },
-        [](SimulatedCluster& world, const Fault&) {
-            auto* worker = world.any_worker();
-            if (!worker) return;
-            world.rng_() % 2 ? world.cloud_.take(worker->host())
-                             : world.cloud_.fail(worker->host());
-        },
-        [](SimulatedCluster& world, const Fault& fault) {
-            world.lost_responses_ = 0.1;
-            world.clock_.after(fault.span, [&world] { world.lost_responses_ = 0; });
-        },
-        [](SimulatedCluster& world, const Fault& fault) {
-            world.commands_delayed_until_ = fault.until;
-        },
-        [](SimulatedCluster& world, const Fault& fault) {
-            if (auto* worker = world.any_worker()) {
-                world.worker_cuts_[worker->host()] = {Cut::unresponsive, fault.until + fault.span};
-            }
-        },
-        cut_node_from(true, true, false),
-        [](SimulatedCluster& world, const Fault& fault) {
-            world.restart_again_and_again(fault.node);
-        },
-        [](SimulatedCluster& world, const Fault& fault) {
-            auto* worker = world.any_worker();
-            if (!worker) return;
-            worker->set_faulty(true);
-            world.clock_.after(fault.span, [worker] { worker->set_faulty(false); });
-        }};
+// Faults of machines and of their links to the controllers.
+std::vector<RandomFaults::FaultAction> RandomFaults::machine_faults() {
+    return {[](RandomFaults& self, const Fault& fault) {
+                if (auto* worker = self.any_worker()) {
+                    self.network_.set_worker_fault(worker->host(), fault.link_fault, fault.until);
+                }
+            },
+            [](RandomFaults& self, const Fault& fault) {
+                if (auto* worker = self.any_worker()) worker->hang(fault.span);
+            },
+            [](RandomFaults& self, const Fault&) { self.preempt_with_notice(); },
+            [](RandomFaults& self, const Fault&) {
+                auto* worker = self.any_worker();
+                if (!worker) return;
+                self.sim_.rng() % 2 ? self.cloud_.take(worker->host())
+                                    : self.cloud_.fail(worker->host());
+            },
+            [](RandomFaults& self, const Fault& fault) {
+                self.network_.faults.lost_responses = 0.1;
+                self.sim_.clock.after(fault.span,
+                                      [&self] { self.network_.faults.lost_responses = 0; });
+            },
+            [](RandomFaults& self, const Fault& fault) {
+                self.network_.faults.commands_delayed_until = fault.until;
+            },
+            [](RandomFaults& self, const Fault& fault) {
+                if (auto* worker = self.any_worker()) {
+                    self.network_.set_worker_fault(worker->host(), LinkFault::inbound_lost,
+                                                   fault.until + fault.span);
+                }
+            },
+            partition_from(true, true, false),
+            [](RandomFaults& self, const Fault& fault) { self.crash_repeatedly(fault.node); },
+            [](RandomFaults& self, const Fault& fault) {
+                auto* worker = self.any_worker();
+                if (!worker) return;
+                worker->set_faulty(true);
+                self.sim_.clock.after(fault.span, [worker] { worker->set_faulty(false); });
+            }};
 }
 
-// Every fault that may be drawn, each as likely as the others.
-const std::vector<SimulatedCluster::FaultAction>& SimulatedCluster::faults() {
+// Every fault that may be drawn, each with the same probability.
+const std::vector<RandomFaults::FaultAction>& RandomFaults::faults() {
     static const std::vector<FaultAction> all = [] {
         auto faults = service_faults();
         for (auto& fault : machine_faults()) faults.push_back(std::move(fault));
@@ -125,76 +124,67 @@
     return all;
 }
 
-void SimulatedCluster::preempt_with_notice() {
+void RandomFaults::preempt_with_notice() {
     constexpr Millis notice{8000};
     auto* worker = any_worker();
     if (!worker) return;
-    worker->set_notice(clock_.now() + notice);
-    clock_.after(notice, [this, host = worker->host()] { cloud_.take(host); });
+    worker->set_notice(sim_.clock.now() + notice);
+    sim_.clock.after(notice, [this, host = worker->host()] { cloud_.take(host); });
 }
 
-// Back within a fraction of a second, and again while others still elect.
-void SimulatedCluster::restart_again_and_again(std::size_t node) {
+// Back within a fraction of a second, and down again while the others still hold an election.
+void RandomFaults::crash_repeatedly(std::size_t node) {
     for (int n = 0; n < 4; ++n) {
-        clock_.after(Millis(900 * n), [this, node] {
-            crash(node, Millis(50 + static_cast<std::int64_t>(rng_() % 300)));
+        sim_.clock.after(Millis(900 * n), [this, node] {
+            controllers_.crash(node, Millis(50 + static_cast<std::int64_t>(sim_.rng() % 300)));
         });
     }
 }
 
-void SimulatedCluster::fault() {
-    // The leader's troubles are the interesting ones.
-    auto node = rng_() % nodes_.size();
-    for (std::size_t n = 0; n < nodes_.size(); ++n) {
-        if (nodes_[n].core && nodes_[n].core->leads() && rng_() % 2) node = n;
+void RandomFaults::inject_fault() {
+    // Faults of the leader matter most.
+    auto node = sim_.rng() % controllers_.size();
+    for (std::size_t n = 0; n < controllers_.size(); ++n) {
+        if (controllers_.leads(n) && sim_.rng() % 2) node = n;
     }
-    const Millis span(2000 + static_cast<std::int64_t>(rng_() % 25000));
-    const auto until = clock_.now() + span;
-    const auto cut = rng_() % 2 ? Cut::hold : Cut::drop;
-    const Fault drawn{node, cut, span, until};
-    faults()[rng_() % faults().size()](*this, drawn);
-    heal_at(until, node);
-}
-
-// The node's interruptions end, unless a later one goes on for longer.
-void SimulatedCluster::heal_at(Instant until, std::size_t i) {
-    clock_.at(until, [this, i] {
-        auto& n = nodes_[i];
-        if (clock_.now() < n.cut_until) return;
-        n.from_state = n.from_workers = n.from_nodes = Cut::none;
-        n.refused = false;
-    });
+    const Millis span(2000 + static_cast<std::int64_t>(sim_.rng() % 25000));
+    const auto until = sim_.clock.now() + span;
+    const auto link_fault = sim_.rng() % 2 ? LinkFault::delay : LinkFault::drop;
+    const Fault drawn{node, link_fault, span, until};
+    faults()[sim_.rng() % faults().size()](*this, drawn);
+    network_.heal_at(until, node);
 }
 
-void SimulatedCluster::plan_severe_faults() {
-    const auto mean = static_cast<std::uint64_t>(std::max(options_.fault_every_s, 4.0) * 2000);
-    clock_.after(Millis(static_cast<std::int64_t>(mean / 2 + severe_fault_rng_() % mean)), [this] {
-        if (clock_.now() > faults_end_) return;
+void RandomFaults::schedule_severe_faults() {
+    const auto mean = static_cast<std::uint64_t>(std::max(sim_.options.fault_every_s, 4.0) * 2000);
+    sim_.clock.after(Millis(static_cast<std::int64_t>(mean / 2 + sim_.fault_rng() % mean)), [this] {
+        if (sim_.clock.now() > sim_.faults_end) return;
         inject_severe_fault();
-        plan_severe_faults();
+        schedule_severe_faults();
     });
 }
 
-void SimulatedCluster::inject_severe_fault() {
-    auto i = leader();
-    if (i == nodes_.size() || severe_fault_rng_() % 3 == 0) i = severe_fault_rng_() % nodes_.size();
-    const Millis span(1000 + static_cast<std::int64_t>(severe_fault_rng_() % 20000));
-    switch (severe_fault_rng_() % 4) {
+void RandomFaults::inject_severe_fault() {
+    auto i = controllers_.leader();
+    if (i == controllers_.size() || sim_.fault_rng() % 3 == 0)
+        i = sim_.fault_rng() % controllers_.size();
+    const Millis span(1000 + static_cast<std::int64_t>(sim_.fault_rng() % 20000));
+    switch (sim_.fault_rng() % 4) {
         case 0:
-            nodes_[i].stalled_until = clock_.now() + span;
+            controllers_.stall(i, span);
             break;
         case 1:
-            cut_zone(severe_fault_rng_() % 2 ? "a" : "b", severe_fault_rng_() % nodes_.size(),
-                     span);
+            injector_.partition_zone(sim_.fault_rng() % 2 ? "a" : "b",
+                                     sim_.fault_rng() % controllers_.size(), span);
             break;
         case 2:
             for (auto& [host, w] : workers_) {
-                if (w->gone() || severe_fault_rng_() % 3 != 0) continue;
-                severe_fault_rng_() % 2 ? cloud_.take(host) : cloud_.fail(host);
+                if (w->gone() || sim_.fault_rng() % 3 != 0) continue;
+                sim_.fault_rng() % 2 ? cloud_.take(host) : cloud_.fail(host);
             }
             break;
         default:
-            kv_store_slow_until_ = clock_.now() + span;
+            network_.faults.kv_store_slow_until = sim_.clock.now() + span;
     }
 }
 
--- a/tests/sim/random_scenarios.hpp
+++ b/tests/sim/random_scenarios.hpp
@@ -18,15 +18,15 @@
     return options;
 }
 
-inline void run_random_scenario(SimulatedCluster& world, std::uint64_t seed) {
-    for (int meeting = 0; meeting < 7; ++meeting) {
-        world.run_for(Millis(15000));
+inline void run_random_scenario(SimulatedCluster& cluster, std::uint64_t seed) {
+    for (int round = 0; round < 7; ++round) {
+        cluster.run_for(Millis(15000));
         for (std::uint64_t n = 0; n < 2 + seed % 2; ++n) {
-            world.inject_random_fault();
-            world.run_for(Millis(800));
+            cluster.random_faults().inject_any();
+            cluster.run_for(Millis(800));
         }
     }
-    world.run();
+    cluster.run();
 }
 
 // Days that join the troubles of bad nights with all others.
@@ -39,16 +39,16 @@
     return options;
 }
 
-inline void run_random_compound_scenario(SimulatedCluster& world) {
-    constexpr int meetings = 7;
-    for (int meeting = 0; meeting < meetings; ++meeting) {
-        world.run_for(Millis(15000));
-        world.inject_random_compound_fault();
-        world.run_for(Millis(800));
-        world.inject_random_fault();
-        if (meeting % 2 == 0) world.inject_random_compound_fault();
+inline void run_random_compound_scenario(SimulatedCluster& cluster) {
+    constexpr int rounds = 7;
+    for (int round = 0; round < rounds; ++round) {
+        cluster.run_for(Millis(15000));
+        cluster.random_faults().inject_any_compound();
+        cluster.run_for(Millis(800));
+        cluster.random_faults().inject_any();
+        if (round % 2 == 0) cluster.random_faults().inject_any_compound();
     }
-    world.run();
+    cluster.run();
 }
 
 }  // namespace dunebridge::sim
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -2,152 +2,128 @@
 
 #include <algorithm>
 
+#include "kv/keys.hpp"
+
 namespace dunebridge::sim {
 
 namespace {
+constexpr std::size_t kControllers = 3;
+constexpr Millis kListLag{4000};
+constexpr std::size_t kSmallFleet = 40;  // up to which every event is followed by a check
+}  // namespace
 
-config::Config make_config(const ScenarioOptions& options) {
-    const double size = static_cast<double>(options.machines) / ScenarioOptions().machines;
-    config::Config c;
-    c.name = ControllerName("node-0");
-    c.zones = {"a", "b"};
-    c.teams = {{"red", 8 * size, 0, 24 * size, 0},
-               {"blue", 8 * size, 0, 20 * size, 0},
-               {"free", 0, 0, 0, 0}};
-    if (options.guest_team) c.teams.push_back({"guest", 0, 0, 0, 0});
-    c.heartbeat_interval = Millis(3000);
-    c.worker_lease = Millis(15000);
-    c.cancellation_deadline = Millis(40000);
-    c.machine_list_lag = Millis(4000);
-    c.cloud_rps = 5;
-    if (options.large_fleet) {
-        c.heartbeat_interval = Millis(8000);
-        c.worker_lease = Millis(36000);
-        c.cancellation_deadline = Millis(56000);
-        c.machine_list_lag = Millis(8000);
-        c.cloud_rps = 3;
-        c.fd_limit = 2928;
+SimulatedCluster::SimulatedCluster(const ScenarioOptions& options)
+    : sim_(options),
+      kv_store_(sim_.clock),
+      cloud_(sim_.clock, machine_types(), options.machines, kListLag, options.seed * 7 + 1,
+             cloud_events()),
+      controllers_(sim_, kControllers),
+      network_(sim_, controllers_, kv_store_, cloud_, machines_),
+      users_(sim_, controllers_),
+      invariants_(sim_, kv_store_, machines_, users_, network_),
+      faults_({sim_, controllers_, network_, users_, machines_, kv_store_, cloud_}),
+      random_faults_({sim_, controllers_, network_, users_, machines_, kv_store_, cloud_},
+                     faults_) {
+    controllers_.set_transport([this](std::size_t index, sansio::HttpCall call) {
+        network_.call(index, std::move(call));
+    });
+    controllers_.boot_all();
+    if (options.urgent_flow) {
+        users_.add_urgent_flow();
+    } else {
+        users_.add_random_jobs(options.jobs);
     }
-    return c;
+    if (options.fault_every_s > 0) random_faults_.schedule_faults();
+    if (options.severe_faults) random_faults_.schedule_severe_faults();
+    if (options.large_fleet) enforce_site_limits();
 }
 
-std::vector<wire::MachineType> make_types() {
-    return {{"small", 4, 0, 16, 50, 1, 0.2, 0.08, 12, {"a", "b"}},
-            {"big", 16, 0, 64, 50, 1, 0.9, 0.3, 10, {"a", "b"}}};
+FakeCloud::Events SimulatedCluster::cloud_events() {
+    return {[this](const wire::MachineListing& listing) { start_worker(listing); },
+            [this](const MachineName& host) {
+                const auto it = machines_.find(host);
+                if (it != machines_.end()) it->second->stop();
+            },
+            [this](const MachineName& host) {
+                const auto it = machines_.find(host);
+                if (it != machines_.end() && !it->second->present().empty()) {
+                    ++sim_.statistics.scaled_in_with_tasks;
+                }
+            }};
 }
 
-}  // namespace
-
-SimulatedCluster::SimulatedCluster(const ScenarioOptions& options)
-    : options_(options),
-      rng_(options.seed),
-      severe_fault_rng_(options.seed * 31 + 5),
-      config_(make_config(options)),
-      state_(clock_),
-      cloud_(clock_, make_types(), options.machines, Millis(4000), options.seed * 7 + 1,
-             {[this](const wire::MachineListing& row) {
-                  const auto types = make_types();
-                  const auto type = std::find_if(types.begin(), types.end(), [&](const auto& t) {
-                      return t.name == row.machine_type;
-                  });
-                  auto worker = std::make_unique<FakeWorker>(clock_, *this, config_, *type,
-                                                             row.host, row.zone, row.spot, rng_());
-                  workers_[row.host] = std::move(worker);
-                  workers_[row.host]->start();
-              },
-              [this](const MachineName& host) {
-                  const auto it = workers_.find(host);
-                  if (it != workers_.end()) it->second->stop();
-              },
-              [this](const MachineName& host) {
-                  const auto it = workers_.find(host);
-                  if (it != workers_.end() && !it->second->present().empty()) {
-                      ++returned_with_tasks_;
-                  }
-              }}) {
-    nodes_.resize(3);
-    faults_end_ = clock_.now() + from_seconds(options.faults_s);
-    config_.kv_limits = options.limits;
-    if (options.large_fleet) config_.kv_limits = config::KvLimits({180, 70, 16, 48});
-    for (auto& node : nodes_) node.old_version = options.old_format > 0;
-    for (std::size_t i = 0; i < nodes_.size(); ++i) boot(i);
-    options.urgent_flow ? make_flow() : make_users(options.jobs);
-    if (options.fault_every_s > 0) plan_fault();
-    if (options.severe_faults) plan_severe_faults();
-    if (!options.large_fleet) return;
-    state_.set_limits({config_.kv_limits.rps(), config_.kv_limits.write_rps(),
-                       config_.kv_limits.txn_ops(), config_.kv_limits.value_bytes(), 1000});
-    cloud_.set_limits(config_.cloud_rps, 500);
-    check_every_ = check_ledger_every_ = Millis(1000);
+void SimulatedCluster::start_worker(const wire::MachineListing& listing) {
+    const auto types = machine_types();
+    const auto type = std::find_if(types.begin(), types.end(),
+                                   [&](const auto& t) { return t.name == listing.machine_type; });
+    WorkerHost& host = *this;
+    auto worker = std::make_unique<FakeWorker>(sim_.clock, host, sim_.config, *type, listing.host,
+                                               listing.zone, listing.spot, sim_.rng());
+    machines_[listing.host] = std::move(worker);
+    machines_[listing.host]->start();
 }
 
-SimulatedCluster::~SimulatedCluster() = default;
-
-// ---- the passing of time ----
+void SimulatedCluster::enforce_site_limits() {
+    constexpr std::size_t kv_page = 1000;
+    constexpr std::size_t cloud_page = 500;
+    const auto& limits = sim_.config.kv_limits;
+    kv_store_.set_limits(
+        {limits.rps(), limits.write_rps(), limits.txn_ops(), limits.value_bytes(), kv_page});
+    cloud_.set_limits(sim_.config.cloud_rps, cloud_page);
+    check_every_ = check_records_every_ = Millis(1000);
+}
 
 void SimulatedCluster::step_once(Instant limit) {
-    clock_.step(limit);
-    // A large world is looked at every few milliseconds; what starts is checked as it starts.
-    if (workers_.size() <= 40 || clock_.now() >= next_check_) {
-        next_check_ = clock_.now() + check_every_;
-        check();
+    sim_.clock.step(limit);
+    const auto now = sim_.clock.now();
+    if (machines_.size() <= kSmallFleet || now >= next_check_) {
+        next_check_ = now + check_every_;
+        invariants_.check();
     }
-    if (clock_.now() < next_ledger_check_) return;
-    check_ledger();
-    next_ledger_check_ = clock_.now() + check_ledger_every_;
+    if (now < next_record_check_) return;
+    invariants_.check_records();
+    next_record_check_ = now + check_records_every_;
 }
 
 void SimulatedCluster::run_for(Millis span) {
-    const auto end = clock_.now() + span;
-    while (clock_.now() < end && violations_.empty()) step_once(end);
-}
-
-void SimulatedCluster::crash_leader(Millis down) {
-    const auto i = leader();
-    if (i < nodes_.size()) crash(i, down);
+    const auto end = sim_.clock.now() + span;
+    while (sim_.clock.now() < end && sim_.violations.empty()) step_once(end);
 }
 
-std::size_t SimulatedCluster::leader() const {
-    for (std::size_t i = 0; i < nodes_.size(); ++i) {
-        if (nodes_[i].core && nodes_[i].core->leads()) return i;
+void SimulatedCluster::run() {
+    constexpr Millis quiet_time{45000};
+    const auto limit = sim_.faults_end + from_seconds(sim_.options.drain_s);
+    Instant quiet_until = Instant::max();
+    while (sim_.clock.now() < std::min(limit, quiet_until) && sim_.violations.empty()) {
+        step_once(limit);
+        // Some time after the last job's end, so that late messages are seen to do no harm.
+        if (quiet_until == Instant::max() && sim_.clock.now() > sim_.faults_end &&
+            users_.all_jobs_terminal()) {
+            quiet_until = sim_.clock.now() + quiet_time;
+        }
     }
-    return nodes_.size();
 }
 
-void SimulatedCluster::isolate_leader(Millis span) {
-    const auto i = leader();
-    if (i == nodes_.size()) return;
-    auto& node = nodes_[i];
-    node.from_state = node.from_nodes = Cut::hold;
-    node.cut_until = clock_.now() + span;
-    clock_.after(span, [this, i] { nodes_[i].from_state = nodes_[i].from_nodes = Cut::none; });
+std::string SimulatedCluster::describe_violations() const {
+    std::string out;
+    for (const auto& line : sim_.violations) out += line + "\n";
+    return out;
 }
 
-std::size_t SimulatedCluster::killed_by_lease() const {
-    std::size_t sum = 0;
-    for (const auto& [host, worker] : workers_) sum += worker->killed_by_lease();
-    return sum;
+std::uint64_t SimulatedCluster::record_format() const {
+    const auto mark = wire::Document::parse(kv_store_.value(kv::kFormatMark));
+    return mark ? mark->root()["v"].need_count("v") : config::kChunkFormat;
 }
 
-std::optional<double> SimulatedCluster::largest_began_s() const {
-    const User* largest = nullptr;
-    for (const auto& [id, user] : users_) {
-        if (!largest || user.spec.cores > largest->spec.cores) largest = &user;
-    }
-    if (!largest || largest->began == Instant::max()) return std::nullopt;
-    return to_seconds(largest->began - largest->submit_at);
+std::size_t SimulatedCluster::machines_up() const {
+    return static_cast<std::size_t>(std::count_if(machines_.begin(), machines_.end(),
+                                                  [](const auto& m) { return !m.second->gone(); }));
 }
 
-void SimulatedCluster::run() {
-    const auto limit = faults_end_ + from_seconds(options_.drain_s);
-    Instant quiet_until = Instant::max();
-    while (clock_.now() < std::min(limit, quiet_until) && violations_.empty()) {
-        step_once(limit);
-        // Some time after the last end, so that late messages are seen to do no harm.
-        if (quiet_until == Instant::max() && clock_.now() > faults_end_ && all_jobs_terminal()) {
-            quiet_until = clock_.now() + Millis(45000);
-        }
-    }
+std::size_t SimulatedCluster::killed_by_lease() const {
+    std::size_t sum = 0;
+    for (const auto& [host, worker] : machines_) sum += worker->killed_by_lease();
+    return sum;
 }
 
 }  // namespace dunebridge::sim
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -1,7 +1,6 @@
-// The users of the simulated world: what they submit, ask and cancel.
-#include <algorithm>
+#include "sim/simulated_users.hpp"
 
-#include "sim/simulated_cluster.hpp"
+#include <algorithm>
 
 namespace dunebridge::sim {
 
@@ -9,317 +8,248 @@
 using sansio::HttpResponse;
 using wire::JobPhase;
 
-void SimulatedCluster::make_users(int jobs) {
-    const std::vector<std::string> teams{"red", "blue", "free"};
-    for (int n = 0; n < jobs; ++n) {
-        User user;
-        auto& s = user.spec;
-        s.id = JobId(fmt::format("req-{:06}", rng_() % 900000 + static_cast<std::uint64_t>(n)));
-        s.job_class = rng_() % 2 ? "short" : "long";
-        s.team = teams[rng_() % teams.size()];
-        s.priority = rng_() % 3 == 0 ? wire::Priority::urgent : wire::Priority::standard;
-        s.task_count = static_cast<std::uint32_t>(1 + rng_() % options_.most_tasks);
-        s.cores = static_cast<double>(1 + rng_() % 3);
-        s.ram_gb = 2;
-        s.image = "img-" + std::to_string(rng_() % 3);
-        s.image_gb = 1;
-        s.expected_s = s.job_class == "short" ? 6 : 25;
-        if (options_.task_s > 0) s.expected_s = options_.task_s;
-        s.spot_allowed = rng_() % 4 != 0;
-        s.together = rng_() % 6 == 0;
-        s.apart = !s.together && rng_() % 6 == 0;
-        if (rng_() % 6 == 0) s.machine_types = std::vector<std::string>{"big"};
-        if (rng_() % 6 == 0 && !s.apart) s.zone = rng_() % 2 ? "a" : "b";
-        if (rng_() % 3 == 0) {
-            s.checkpoint_every_s = 5;
-            s.checkpoint_s = 2;
-        }
-        if (rng_() % 2 == 0) s.due_s = 60;
-        const auto span = static_cast<std::uint64_t>(options_.faults_s * 800);
-        user.submit_at = clock_.now() + Millis(static_cast<std::int64_t>(rng_() % span));
-        if (rng_() % 4 == 0) {
-            user.abort_at = user.submit_at + Millis(static_cast<std::int64_t>(rng_() % 40000));
-        }
-        users_.emplace(s.id, std::move(user));
-    }
-    make_pipelines();
-    if (options_.guest_team) make_guests();
-    if (options_.failing_jobs_percent > 0) make_mistakes();
-    for (auto& [id, user] : users_) plan_user(user);
-    clock_.after(Millis(5000), [this] { ask_unknown(); });
-}
-
-void SimulatedCluster::make_pipelines() {
-    std::vector<JobId> early;
-    for (const auto& [id, user] : users_) early.push_back(id);
-    const auto from = clock_.now() + from_seconds(options_.pipelines_after_s);
-    const auto span =
-        static_cast<std::uint64_t>((options_.faults_s - options_.pipelines_after_s) * 800);
-    for (int n = 0; n < options_.pipelines; ++n) {
-        const auto begin = from + Millis(static_cast<std::int64_t>(severe_fault_rng_() % span));
-        const auto add = [&](int stage, std::vector<JobId> dependencies) {
-            User user;
-            auto& s = user.spec;
-            s.id = JobId(fmt::format("req-7{:05}{}", n, stage));
-            s.job_class = "chain";
-            s.team = n % 2 ? "red" : "free";
-            s.priority = stage == 3 ? wire::Priority::urgent : wire::Priority::idle;
-            s.task_count = static_cast<std::uint32_t>(1 + severe_fault_rng_() % 5);
-            s.cores = 1;
-            s.ram_gb = 1;
-            s.image = "img-0";
-            s.image_gb = 1;
-            s.expected_s = 5;
-            s.spot_allowed = true;
-            if (stage == 3) s.due_s = 120;
-            s.waits_on = std::move(dependencies);
-            user.chained = true;
-            // Some submit the last one only when the others are over.
-            user.submit_at = begin + Millis(stage == 3 && severe_fault_rng_() % 4 == 0 ? 60000 : 0);
-            if (severe_fault_rng_() % 8 == 0) {
-                user.abort_at =
-                    user.submit_at + Millis(static_cast<std::int64_t>(severe_fault_rng_() % 40000));
-            }
-            return users_.emplace(s.id, std::move(user)).first->first;
-        };
-        const auto first = add(0, severe_fault_rng_() % 3 == 0
-                                      ? std::vector{early[severe_fault_rng_() % early.size()]}
-                                      : std::vector<JobId>{});
-        const auto left = add(1, {first});
-        const auto right = add(2, {first});
-        const auto last = add(3, {left, right});
-        if (options_.fan_in == 0) continue;
-        std::vector<JobId> many{last};
-        for (std::size_t i = 0; i < std::min(options_.fan_in, early.size()); ++i) {
-            many.push_back(early[i]);
-        }
-        add(4, std::move(many));
-    }
-}
+SimulatedUsers::SimulatedUsers(Simulation& simulation, ControllerProcesses& controllers)
+    : sim_(simulation), controllers_(controllers) {}
 
-// A team that no setting guarantees anything: one giant array, a swarm of one-task jobs, and idle
-// work that saves its progress.
-void SimulatedCluster::make_guests() {
-    const auto add = [this](int number, Instant at, const char* job_class) -> wire::JobSpec& {
-        User user;
-        user.spec.id = JobId(fmt::format("req-8{:05}", number));
-        user.spec.job_class = job_class;
-        user.spec.team = "guest";
-        user.spec.priority = wire::Priority::idle;
-        user.spec.cores = 0.25;
-        user.spec.ram_gb = 0.5;
-        user.spec.image = "img-guest";
-        user.spec.image_gb = 0.5;
-        user.spec.spot_allowed = true;
-        user.submit_at = at;
-        return users_.emplace(user.spec.id, std::move(user)).first->second.spec;
-    };
-    constexpr std::uint32_t giant_tasks = 3000;
-    constexpr int swarm_jobs = 60;
-    const auto begin = clock_.now() + from_seconds(options_.faults_s / 3);
-    auto& giant = add(0, begin, "giant");
-    giant.task_count = giant_tasks;
-    giant.expected_s = 4;
-    for (int n = 1; n <= swarm_jobs; ++n) {
-        auto& tiny = add(n, begin + Millis(250 * n), "swarm");
-        tiny.task_count = 1;
-        tiny.expected_s = 8;
-    }
-    auto& backfill = add(swarm_jobs + 1, clock_.now() + Millis(3000), "backfill");
-    backfill.task_count = 40;
-    backfill.cores = 1;
-    backfill.expected_s = 30;
-    backfill.checkpoint_every_s = 5;
-    backfill.checkpoint_s = 1;
+void SimulatedUsers::schedule(SimulatedUser& user) {
+    sim_.clock.at(user.submit_at, [this, &user] { submit(user); });
+    if (user.cancel_at < Instant::max())
+        sim_.clock.at(user.cancel_at, [this, &user] { cancel(user); });
 }
 
-void SimulatedCluster::make_mistakes() {
-    for (auto& [id, user] : users_) {
-        if (!user.spec.waits_on.empty() ||
-            severe_fault_rng_() % 100 >= options_.failing_jobs_percent)
-            continue;
-        user.failing = true;
-        constexpr std::uint64_t spread_ms = 90000;
-        user.abort_at = user.submit_at + Millis(60000) +
-                        Millis(static_cast<std::int64_t>(severe_fault_rng_() % spread_ms));
-    }
-}
-
-bool SimulatedCluster::dependencies_accepted(const User& user) const {
+bool SimulatedUsers::dependencies_accepted(const SimulatedUser& user) const {
     return std::all_of(user.spec.waits_on.begin(), user.spec.waits_on.end(),
                        [&](const JobId& id) { return users_.at(id).accepted; });
 }
 
-bool SimulatedCluster::dependencies_done(const User& user) const {
+bool SimulatedUsers::dependencies_done(const SimulatedUser& user) const {
     return std::all_of(user.spec.waits_on.begin(), user.spec.waits_on.end(), [&](const JobId& id) {
         const auto& need = users_.at(id);
         return need.completed.size() == need.spec.task_count;
     });
 }
 
-Instant SimulatedCluster::dependency_told_cancelled_at(const JobId& id) const {
+Instant SimulatedUsers::ancestor_cancellation_seen_at(const JobId& id) const {
     auto first = Instant::max();
     for (const auto& need : users_.at(id).spec.waits_on) {
         first = std::min(
-            {first, users_.at(need).cancellation_seen_at, dependency_told_cancelled_at(need)});
+            {first, users_.at(need).cancellation_seen_at, ancestor_cancellation_seen_at(need)});
     }
     return first;
 }
 
-void SimulatedCluster::plan_user(User& user) {
-    clock_.at(user.submit_at, [this, &user] { submit(user); });
-    if (user.abort_at < Instant::max()) clock_.at(user.abort_at, [this, &user] { abort(user); });
-}
-
-void SimulatedCluster::make_flow() {
-    const auto add = [this](int n, Instant at) -> wire::JobSpec& {
-        User user;
-        user.spec.id = JobId(fmt::format("req-{:06}", n));
-        user.spec.team = "free";
-        user.spec.image = "img-0";
-        user.spec.spot_allowed = true;
-        user.submit_at = at;
-        return users_.emplace(user.spec.id, std::move(user)).first->second.spec;
-    };
-    // More than the fleet can ever do while it lasts.
-    int n = 0;
-    for (auto at = clock_.now(); at < faults_end_; at += Millis(1500)) {
-        auto& small = add(++n, at);
-        small.job_class = "short";
-        small.priority = wire::Priority::urgent;
-        small.task_count = 12;
-        small.cores = 1;
-        small.ram_gb = 1;
-        small.expected_s = 12;
-        small.due_s = 60;
-    }
-    auto& large = add(0, clock_.now() + Millis(30000));
-    large.job_class = "long";
-    large.priority = wire::Priority::standard;
-    large.task_count = 20;
-    large.cores = 14;
-    large.ram_gb = 20;
-    large.expected_s = 10;
-    for (auto& [id, user] : users_) plan_user(user);
+bool SimulatedUsers::ancestor_cancel_requested(const JobId& id) const {
+    const auto& dependencies = users_.at(id).spec.waits_on;
+    return std::any_of(dependencies.begin(), dependencies.end(), [&](const JobId& need) {
+        return users_.at(need).cancel_requested || ancestor_cancel_requested(need);
+    });
 }
 
-void SimulatedCluster::submit(User& user) {
+void SimulatedUsers::submit(SimulatedUser& user) {
     if (user.accepted) return;
     if (!dependencies_accepted(user)) {
-        clock_.after(Millis(300), [this, &user] { submit(user); });
+        sim_.clock.after(Millis(300), [this, &user] { submit(user); });
         return;
     }
     wire::Writer w;
     wire::encode_job(w, user.spec);
     const auto body = w.take();
-    request(rng_() % nodes_.size(), Listener::front, "POST", "/v1/jobs", body,
-            [this, &user, body, asked = clock_.now()](const HttpResponse& a) {
-                if (a.status == 400 || a.status == 422) {
-                    broken("forgotten", user.spec.id.get() + " refused");
-                }
-                if (a.status != 200 && a.status != 201) return;
-                if (options_.severe_faults) repeat_user(user, "/v1/jobs", body);
-                const bool first = !user.accepted;
-                user.accepted = true;
-                if (asked >= user.final_seen_at) record_response(user, a);
-                if (first) poll(user);
-            });
-    clock_.after(Millis(1000 + static_cast<std::int64_t>(rng_() % 500)),
-                 [this, &user] { submit(user); });
+    controllers_.request(sim_.rng() % controllers_.size(), Listener::front, "POST", "/v1/jobs",
+                         body,
+                         [this, &user, body, asked = sim_.clock.now()](const HttpResponse& a) {
+                             if (a.status == 400 || a.status == 422) {
+                                 sim_.violated("job_lost", user.spec.id.get() + " refused");
+                             }
+                             if (a.status != 200 && a.status != 201) return;
+                             if (sim_.options.severe_faults) repeat_later(user, "/v1/jobs", body);
+                             const bool first = !user.accepted;
+                             user.accepted = true;
+                             if (asked >= user.terminal_seen_at) record_status(user, a);
+                             if (first) poll(user);
+                         });
+    sim_.clock.after(Millis(1000 + static_cast<std::int64_t>(sim_.rng() % 500)),
+                     [this, &user] { submit(user); });
+}
+
+// A submission or cancellation that was carried out is sent again, to any controller. The response
+// must agree with what the user has seen.
+void SimulatedUsers::repeat_later(SimulatedUser& user, const std::string& target,
+                                  const std::string& body) {
+    if (sim_.fault_rng() % 4 != 0) return;
+    sim_.clock.after(Millis(static_cast<std::int64_t>(sim_.fault_rng() % 60000)),
+                     [this, &user, target, body] {
+                         repeat_request(user, sim_.fault_rng() % controllers_.size(), "POST",
+                                        target, body, "repeat");
+                     });
+}
+
+// A response that was under way while the user learned of the end may be the older one.
+void SimulatedUsers::repeat_request(SimulatedUser& user, std::size_t node,
+                                    const std::string& method, const std::string& target,
+                                    const std::string& body, const char* when) {
+    controllers_.request(node, Listener::front, method, target, body,
+                         [this, &user, when, asked = sim_.clock.now()](const HttpResponse& a) {
+                             if (a.status == 404 || a.status == 400 || a.status == 422) {
+                                 sim_.violated("job_lost",
+                                               fmt::format("{} ({})", user.spec.id.get(), when));
+                             }
+                             if (a.status == 200 && asked >= user.terminal_seen_at)
+                                 record_status(user, a);
+                         });
+}
+
+void SimulatedUsers::poll(SimulatedUser& user) {
+    // Polling goes on after the end: every controller must keep to the terminal phase.
+    controllers_.request(sim_.rng() % controllers_.size(), Listener::front, "GET",
+                         "/v1/jobs/" + user.spec.id.get(), {},
+                         [this, &user, asked = sim_.clock.now()](const HttpResponse& a) {
+                             if (a.status == 404) sim_.violated("job_lost", user.spec.id.get());
+                             // A response under way while the user learned of the end may be the
+                             // older one.
+                             if (a.status == 200 && asked >= user.terminal_seen_at)
+                                 record_status(user, a);
+                         });
+    const auto pause = user.terminal_phase ? 20000 : 4000;
+    sim_.clock.after(Millis(pause + static_cast<std::int64_t>(sim_.rng() % 1000)),
+                     [this, &user] { poll(user); });
+}
+
+void SimulatedUsers::cancel(SimulatedUser& user) {
+    if (user.terminal_phase) return;
+    if (user.accepted) cancel_via(user, sim_.rng() % controllers_.size());
+    sim_.clock.after(Millis(1500), [this, &user] { cancel(user); });
+}
+
+void SimulatedUsers::cancel_via(SimulatedUser& user, std::size_t node) {
+    user.cancel_requested = true;
+    controllers_.request(node, Listener::front, "POST", "/v1/jobs/" + user.spec.id.get() + "/abort",
+                         {}, [this, &user](const HttpResponse& a) {
+                             if (a.status == 404)
+                                 sim_.violated("job_lost", user.spec.id.get() + " (abort)");
+                             if (a.status != 200) return;
+                             record_status(user, a);
+                             if (sim_.options.severe_faults) {
+                                 repeat_later(user, "/v1/jobs/" + user.spec.id.get() + "/abort",
+                                              {});
+                             }
+                         });
+}
+
+void SimulatedUsers::record_status(SimulatedUser& user, const HttpResponse& a) {
+    user.last_answer = sim_.clock.now();
+    const auto doc = wire::Document::parse(a.body);
+    const auto phase = doc->root()["phase"].need_text("phase");
+    const auto& id = user.spec.id.get();
+    if (user.terminal_phase && phase != wire::name_of(*user.terminal_phase))
+        sim_.violated("terminal_phase_changed", id + " " + phase);
+    if (phase == "done") {
+        if (user.completed.size() < user.spec.task_count) sim_.violated("done_too_early", id);
+        if (!user.terminal_phase) user.terminal_seen_at = sim_.clock.now();
+        user.terminal_phase = JobPhase::done;
+    } else if (phase == "withdrawn") {
+        if (!user.cancel_requested &&
+            ancestor_cancellation_seen_at(user.spec.id) == Instant::max() &&
+            !ancestor_cancel_requested(user.spec.id)) {
+            sim_.violated("terminal_phase_changed", id + " was not cancelled by its user");
+        }
+        if (!user.terminal_phase)
+            user.terminal_seen_at = user.cancellation_seen_at = sim_.clock.now();
+        user.terminal_phase = JobPhase::cancelled;
+    } else if (sim_.clock.now() - ancestor_cancellation_seen_at(user.spec.id) >
+               sim_.config.cancellation_deadline) {
+        sim_.violated("orphaned", id + " is called " + phase);
+    }
 }
 
-// A submission or cancellation that was carried out comes again, at any node. What it is answered
-// must fit what the user was told.
-void SimulatedCluster::repeat_user(User& user, const std::string& target, const std::string& body) {
-    if (severe_fault_rng_() % 4 != 0) return;
-    clock_.after(Millis(static_cast<std::int64_t>(severe_fault_rng_() % 60000)), [this, &user,
-                                                                                  target, body] {
-        ask_again(user, severe_fault_rng_() % nodes_.size(), "POST", target, body, "repeat");
-    });
+void SimulatedUsers::poll_unknown_job() {
+    controllers_.request(sim_.rng() % controllers_.size(), Listener::front, "GET",
+                         "/v1/jobs/req-999999999", {}, [this](const HttpResponse& a) {
+                             if (a.status == 200)
+                                 sim_.violated("unknown_job_found", "req-999999999");
+                         });
+    sim_.clock.after(Millis(5000), [this] { poll_unknown_job(); });
 }
 
-// Whatever is asked about an accepted job, it is known; an answer that was under way while the user
-// was told of the end may be the older one.
-void SimulatedCluster::ask_again(User& user, std::size_t node, const std::string& method,
-                                 const std::string& target, const std::string& body,
-                                 const char* when) {
-    request(node, Listener::front, method, target, body,
-            [this, &user, when, asked = clock_.now()](const HttpResponse& a) {
-                if (a.status == 404 || a.status == 400 || a.status == 422) {
-                    broken("forgotten", fmt::format("{} ({})", user.spec.id.get(), when));
-                }
-                if (a.status == 200 && asked >= user.final_seen_at) record_response(user, a);
-            });
+void SimulatedUsers::query_at_completion(SimulatedUser& user) {
+    if (user.terminal_phase) return;
+    const auto any = [this] { return sim_.fault_rng() % controllers_.size(); };
+    sim_.clock.after(Millis(static_cast<std::int64_t>(sim_.fault_rng() % 60)),
+                     [this, &user, any] { cancel_via(user, any()); });
+    sim_.clock.after(Millis(1500), [this, &user] { cancel(user); });
+    wire::Writer w;
+    wire::encode_job(w, user.spec);
+    repeat_request(user, any(), "GET", "/v1/jobs/" + user.spec.id.get(), {}, "at completion");
+    repeat_request(user, any(), "POST", "/v1/jobs", w.take(), "at completion");
 }
 
-void SimulatedCluster::poll(User& user) {
-    // Also after the end: what was told must stay so, at every node.
-    request(rng_() % nodes_.size(), Listener::front, "GET", "/v1/jobs/" + user.spec.id.get(), {},
-            [this, &user, asked = clock_.now()](const HttpResponse& a) {
-                if (a.status == 404) broken("forgotten", user.spec.id.get());
-                // An answer under way while the user was told of the end may be the older one.
-                if (a.status == 200 && asked >= user.final_seen_at) record_response(user, a);
-            });
-    const auto pause = user.final ? 20000 : 4000;
-    clock_.after(Millis(pause + static_cast<std::int64_t>(rng_() % 1000)),
-                 [this, &user] { poll(user); });
+const wire::JobSpec* SimulatedUsers::description(const JobId& id) {
+    const auto it = users_.find(id);
+    return it == users_.end() ? nullptr : &it->second.spec;
 }
 
-void SimulatedCluster::abort(User& user) {
-    if (user.final) return;
-    if (user.accepted) abort_at(user, rng_() % nodes_.size());
-    clock_.after(Millis(1500), [this, &user] { abort(user); });
+Millis SimulatedUsers::run_time(const TaskRef& task) {
+    const auto& user = users_.at(task.job);
+    if (user.completed.contains(task.index)) return Millis(0);
+    return from_seconds(user.spec.expected_s) * (50 + static_cast<std::int64_t>(sim_.rng() % 100)) /
+           100;
 }
 
-void SimulatedCluster::abort_at(User& user, std::size_t node) {
-    user.abort_asked = true;
-    request(node, Listener::front, "POST", "/v1/jobs/" + user.spec.id.get() + "/abort", {},
-            [this, &user](const HttpResponse& a) {
-                if (a.status == 404) broken("forgotten", user.spec.id.get() + " (abort)");
-                if (a.status != 200) return;
-                record_response(user, a);
-                if (options_.severe_faults) {
-                    repeat_user(user, "/v1/jobs/" + user.spec.id.get() + "/abort", {});
-                }
-            });
+void SimulatedUsers::task_completed(const TaskRef& task) {
+    auto& user = users_.at(task.job);
+    user.completed.insert(task.index);
+    if (user.completed.size() == user.spec.task_count && sim_.occurs(cancel_on_completion))
+        query_at_completion(user);
 }
 
-void SimulatedCluster::record_response(User& user, const HttpResponse& a) {
-    user.last_answer = clock_.now();
-    const auto doc = wire::Document::parse(a.body);
-    const auto phase = doc->root()["phase"].need_text("phase");
-    const auto& id = user.spec.id.get();
-    if (user.final && phase != wire::name_of(*user.final)) broken("went_back", id + " " + phase);
-    if (phase == "done") {
-        if (user.completed.size() < user.spec.task_count) broken("not_done", id);
-        if (!user.final) user.final_seen_at = clock_.now();
-        user.final = JobPhase::done;
-    } else if (phase == "withdrawn") {
-        if (!user.abort_asked && dependency_told_cancelled_at(user.spec.id) == Instant::max() &&
-            !dependency_abort_asked(user.spec.id)) {
-            broken("went_back", id + " was not cancelled by its user");
+std::size_t SimulatedUsers::unfinished_jobs() const {
+    return static_cast<std::size_t>(std::count_if(
+        users_.begin(), users_.end(), [](const auto& u) { return !u.second.terminal_phase; }));
+}
+
+// Called at each step: the jobs submitted last are mostly the last to end.
+bool SimulatedUsers::all_jobs_terminal() const {
+    return std::all_of(users_.rbegin(), users_.rend(),
+                       [](const auto& user) { return user.second.terminal_phase.has_value(); });
+}
+
+std::string SimulatedUsers::describe_unfinished() const {
+    std::string out;
+    for (const auto& [id, user] : users_) {
+        if (user.terminal_phase) continue;
+        out += fmt::format("{} accepted={} completed={}/{} cores={} apart={} together={}\n",
+                           id.get(), user.accepted, user.completed.size(), user.spec.task_count,
+                           user.spec.cores, user.spec.apart, user.spec.together);
+    }
+    return out;
+}
+
+double SimulatedUsers::least_served() const {
+    std::map<std::string, std::pair<double, double>> groups;  // done, all
+    for (const auto& [id, user] : users_) {
+        if (user.cancel_requested) continue;
+        for (const auto& name : {"class " + user.spec.job_class, "team " + user.spec.team}) {
+            groups[name].first += user.terminal_phase == JobPhase::done ? 1 : 0;
+            groups[name].second += 1;
         }
-        if (!user.final) user.final_seen_at = user.cancellation_seen_at = clock_.now();
-        user.final = JobPhase::cancelled;
-    } else if (clock_.now() - dependency_told_cancelled_at(user.spec.id) >
-               config_.cancellation_deadline) {
-        broken("orphaned", id + " is called " + phase);
     }
+    double least = 1;
+    for (const auto& [name, g] : groups) least = std::min(least, g.first / g.second);
+    return least;
 }
 
-bool SimulatedCluster::dependency_abort_asked(const JobId& id) const {
-    const auto& dependencies = users_.at(id).spec.waits_on;
-    return std::any_of(dependencies.begin(), dependencies.end(), [&](const JobId& need) {
-        return users_.at(need).abort_asked || dependency_abort_asked(need);
-    });
+std::optional<double> SimulatedUsers::largest_job_wait_s() const {
+    const SimulatedUser* largest = nullptr;
+    for (const auto& [id, user] : users_) {
+        if (!largest || user.spec.cores > largest->spec.cores) largest = &user;
+    }
+    if (!largest || largest->first_start == Instant::max()) return std::nullopt;
+    return to_seconds(largest->first_start - largest->submit_at);
 }
 
-void SimulatedCluster::ask_unknown() {
-    request(rng_() % nodes_.size(), Listener::front, "GET", "/v1/jobs/req-999999999", {},
-            [this](const HttpResponse& a) {
-                if (a.status == 200) broken("invented", "req-999999999");
-            });
-    clock_.after(Millis(5000), [this] { ask_unknown(); });
+std::size_t SimulatedUsers::cancellations_seen() const {
+    return static_cast<std::size_t>(std::count_if(users_.begin(), users_.end(), [](const auto& u) {
+        return u.second.terminal_phase == wire::JobPhase::cancelled;
+    }));
 }
 
 }  // namespace dunebridge::sim
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -8,31 +8,31 @@
 namespace dunebridge::sim {
 namespace {
 
-void expect_good(SimulatedCluster& world) {
-    world.run();
-    expect_completed(world);
+void run_and_expect_completed(SimulatedCluster& cluster) {
+    cluster.run();
+    expect_completed(cluster);
 }
 
 TEST(Simulation, QuietDay) {
     ScenarioOptions options;
     options.fault_every_s = 0;
-    SimulatedCluster world(options);
-    expect_good(world);
-    EXPECT_EQ(world.terms(), 1u);
+    SimulatedCluster cluster(options);
+    run_and_expect_completed(cluster);
+    EXPECT_EQ(cluster.statistics().terms, 1u);
 }
 
 // docs/incidents/0001: a new leader took machines it had not heard from yet for lost ones.
 TEST(Simulation, LeaderChangeKeepsTheFleet) {
     ScenarioOptions options;
     options.fault_every_s = 0;
-    SimulatedCluster world(options);
+    SimulatedCluster cluster(options);
     for (int i = 0; i < 3; ++i) {
-        world.run_for(Millis(60000));
-        world.crash_leader();
+        cluster.run_for(Millis(60000));
+        cluster.faults().crash_leader();
     }
-    expect_good(world);
-    EXPECT_EQ(world.terms(), 4u);
-    EXPECT_EQ(world.returned_with_tasks(), 0u);
+    run_and_expect_completed(cluster);
+    EXPECT_EQ(cluster.statistics().terms, 4u);
+    EXPECT_EQ(cluster.statistics().scaled_in_with_tasks, 0u);
 }
 
 // A leader that loses the state service and the others, but not its workers, must not keep them:
@@ -42,32 +42,32 @@
     options.fault_every_s = 0;
     options.faults_s = 40;
     options.task_s = 150;  // nothing to commit, which would tell the leader by itself
-    SimulatedCluster world(options);
-    world.run_for(Millis(100000));
-    const auto old = world.leader();
-    world.isolate_leader(Millis(60000));
-    world.run_for(Millis(14000));  // less than a lease
-    EXPECT_FALSE(world.leads(old));
-    EXPECT_NE(world.leader(), old);
-    world.run_for(Millis(36000));
-    EXPECT_EQ(world.killed_by_lease(), 0u);
-    world.run_for(Millis(60000));
-    EXPECT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
-    EXPECT_EQ(world.terms(), 2u);
+    SimulatedCluster cluster(options);
+    cluster.run_for(Millis(100000));
+    const auto old = cluster.controllers().leader();
+    cluster.faults().isolate_leader(Millis(60000));
+    cluster.run_for(Millis(14000));  // less than a lease
+    EXPECT_FALSE(cluster.controllers().leads(old));
+    EXPECT_NE(cluster.controllers().leader(), old);
+    cluster.run_for(Millis(36000));
+    EXPECT_EQ(cluster.killed_by_lease(), 0u);
+    cluster.run_for(Millis(60000));
+    EXPECT_TRUE(cluster.violated_invariants().empty()) << cluster.describe_violations();
+    EXPECT_EQ(cluster.statistics().terms, 2u);
 }
 
 // A leader that is back within a fraction of a second, also while another is being elected.
 TEST(Simulation, QuickRestartsKeepTheRules) {
     ScenarioOptions options;
     options.fault_every_s = 0;
-    SimulatedCluster world(options);
-    world.run_for(Millis(40000));
+    SimulatedCluster cluster(options);
+    cluster.run_for(Millis(40000));
     for (int i = 0; i < 12; ++i) {
-        world.crash_leader(Millis(60 + 40 * i));
-        world.run_for(Millis(1700 + 300 * i));
+        cluster.faults().crash_leader(Millis(60 + 40 * i));
+        cluster.run_for(Millis(1700 + 300 * i));
     }
-    expect_good(world);
-    EXPECT_EQ(world.returned_with_tasks(), 0u);
+    run_and_expect_completed(cluster);
+    EXPECT_EQ(cluster.statistics().scaled_in_with_tasks, 0u);
 }
 
 // The state service refuses the leader alone, others confirm cancellations, and then it is down for
@@ -77,21 +77,21 @@
     options.fault_every_s = 0;
     options.task_s = 150;
     options.faults_s = 200;
-    SimulatedCluster world(options);
+    SimulatedCluster cluster(options);
     for (int round = 0; round < 2; ++round) {
-        world.run_for(Millis(60000));
-        const auto record_response = world.cancellations_seen();
-        world.refuse_leader(Millis(14000));
-        world.run_for(Millis(300));
-        world.cancel_running(6);
-        world.run_for(Millis(1700));
-        world.kv_store_outage(Millis(60000));
-        world.run_for(Millis(62000));
-        ASSERT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
-        EXPECT_GT(world.cancellations_seen(), record_response);
+        cluster.run_for(Millis(60000));
+        const auto record_response = cluster.users().cancellations_seen();
+        cluster.faults().refuse_leader(Millis(14000));
+        cluster.run_for(Millis(300));
+        cluster.faults().cancel_running(6);
+        cluster.run_for(Millis(1700));
+        cluster.faults().kv_store_outage(Millis(60000));
+        cluster.run_for(Millis(62000));
+        ASSERT_TRUE(cluster.violated_invariants().empty()) << cluster.describe_violations();
+        EXPECT_GT(cluster.users().cancellations_seen(), record_response);
     }
     // The peers answer for what they told: the outage costs no running task.
-    EXPECT_EQ(world.killed_by_lease(), 0u);
+    EXPECT_EQ(cluster.killed_by_lease(), 0u);
 }
 
 // A large job of lower priority begins within four minutes although small urgent ones would take
@@ -102,11 +102,11 @@
     options.urgent_flow = true;
     options.faults_s = 300;
     options.machines = 2;
-    SimulatedCluster world(options);
-    world.run_for(Millis(300000));
-    ASSERT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
-    ASSERT_TRUE(world.largest_began_s().has_value());
-    EXPECT_LT(*world.largest_began_s(), 240);
+    SimulatedCluster cluster(options);
+    cluster.run_for(Millis(300000));
+    ASSERT_TRUE(cluster.violated_invariants().empty()) << cluster.describe_violations();
+    ASSERT_TRUE(cluster.users().largest_job_wait_s().has_value());
+    EXPECT_LT(*cluster.users().largest_job_wait_s(), 240);
 }
 
 // Ten times the fleet and the jobs: the state service's limits are enforced by the stand-in, and
@@ -118,12 +118,12 @@
     options.jobs = 240;
     options.machines = 90;
     options.most_tasks = 60;
-    SimulatedCluster world(options);
-    expect_good(world);
-    EXPECT_GT(world.tasks_started(), 4000u);
-    EXPECT_EQ(world.state().violations(), 0u);
-    EXPECT_LE(world.state().most_changes_in_a_second(), 160);  // a burst and a second's worth
-    EXPECT_LT(static_cast<double>(world.state().changes()) / world.elapsed_s(), 20);
+    SimulatedCluster cluster(options);
+    run_and_expect_completed(cluster);
+    EXPECT_GT(cluster.statistics().tasks_started, 4000u);
+    EXPECT_EQ(cluster.kv_store().violations(), 0u);
+    EXPECT_LE(cluster.kv_store().most_changes_in_a_second(), 160);  // a burst and a second's worth
+    EXPECT_LT(static_cast<double>(cluster.kv_store().changes()) / cluster.elapsed_s(), 20);
 }
 
 // About the size of the largest fleet times 1.5, with the limits of the state service and the cloud
@@ -138,23 +138,23 @@
     options.jobs = 520;
     options.machines = 2070;
     options.most_tasks = 250;
-    SimulatedCluster world(options);
+    SimulatedCluster cluster(options);
     std::size_t most_up = 0;
     for (int i = 0; i < 20; ++i) {
-        world.run_for(Millis(5000));
-        most_up = std::max(most_up, world.machines_up());
+        cluster.run_for(Millis(5000));
+        most_up = std::max(most_up, cluster.machines_up());
     }
-    world.crash_leader();
-    world.run();
-    EXPECT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
+    cluster.faults().crash_leader();
+    cluster.run();
+    EXPECT_TRUE(cluster.violated_invariants().empty()) << cluster.describe_violations();
     EXPECT_GT(most_up, 1000u);
-    EXPECT_GT(world.terms(), 1u);
-    EXPECT_GE(world.least_served(), 0.5) << world.describe_unfinished();
-    EXPECT_EQ(world.state().violations(), 0u);
+    EXPECT_GT(cluster.statistics().terms, 1u);
+    EXPECT_GE(cluster.users().least_served(), 0.5) << cluster.users().describe_unfinished();
+    EXPECT_EQ(cluster.kv_store().violations(), 0u);
     // A burst and a second's worth, whoever leads.
-    EXPECT_LE(world.state().most_changes_in_a_second(), 140);
-    EXPECT_LT(static_cast<double>(world.state().changes()) / world.elapsed_s(), 60);
-    EXPECT_LE(world.cloud().refusals(), 20u);
+    EXPECT_LE(cluster.kv_store().most_changes_in_a_second(), 140);
+    EXPECT_LT(static_cast<double>(cluster.kv_store().changes()) / cluster.elapsed_s(), 60);
+    EXPECT_LE(cluster.cloud().refusals(), 20u);
 }
 
 class WorkerFaults : public testing::TestWithParam<std::uint64_t> {};
@@ -162,8 +162,8 @@
 TEST_P(WorkerFaults, RulesHoldAndJobsEnd) {
     ScenarioOptions options;
     options.seed = GetParam();
-    SimulatedCluster world(options);
-    expect_good(world);
+    SimulatedCluster cluster(options);
+    run_and_expect_completed(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, WorkerFaults, testing::Range<std::uint64_t>(1, 17));
 
@@ -174,8 +174,8 @@
     options.seed = GetParam();
     options.fault_every_s = 3;
     options.jobs = 40;
-    SimulatedCluster world(options);
-    expect_good(world);
+    SimulatedCluster cluster(options);
+    run_and_expect_completed(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, OverlappingFaults, testing::Range<std::uint64_t>(100, 116));
 
@@ -192,10 +192,10 @@
     options.jobs = 30 + static_cast<int>(options.seed % 40);
     options.machines = 4 + options.seed % 12;
     options.most_tasks = options.seed % 4 == 0 ? 30 : 10;
-    SimulatedCluster world(options);
-    world.run();
-    EXPECT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
-    EXPECT_GT(world.tasks_started(), 0u);
+    SimulatedCluster cluster(options);
+    cluster.run();
+    EXPECT_TRUE(cluster.violated_invariants().empty()) << cluster.describe_violations();
+    EXPECT_GT(cluster.statistics().tasks_started, 0u);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, Crowded, testing::Values(1004, 1036, 1216, 1421, 1511, 1607, 3222));
 
@@ -209,10 +209,10 @@
     options.fault_every_s = options.seed % 3 == 0 ? 3 : options.seed % 3 == 1 ? 6 : 12;
     options.jobs = 30 + static_cast<int>(options.seed % 40);
     options.machines = 4 + options.seed % 12;
-    SimulatedCluster world(options);
-    world.run();
-    EXPECT_TRUE(world.violated_invariants().empty()) << world.describe_violations();
-    EXPECT_GT(world.tasks_started(), 0u);
+    SimulatedCluster cluster(options);
+    cluster.run();
+    EXPECT_TRUE(cluster.violated_invariants().empty()) << cluster.describe_violations();
+    EXPECT_GT(cluster.statistics().tasks_started, 0u);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, SevereFaults, testing::Range<std::uint64_t>(5000, 5024));
 
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -15,14 +15,16 @@
     const auto count = std::strtoull(argv[2], nullptr, 10);
     std::uint64_t bad = 0;
     for (auto seed = from; seed < from + count; ++seed) {
-        const bool night = seed % 2 == 1;
-        SimulatedCluster world(night ? random_compound_options(seed)
-                                     : random_scenario_options(seed));
-        night ? run_random_compound_scenario(world) : run_random_scenario(world, seed);
-        if (world.violated_invariants().empty() && world.unfinished_jobs() == 0) continue;
+        const bool compound = seed % 2 == 1;
+        SimulatedCluster cluster(compound ? random_compound_options(seed)
+                                          : random_scenario_options(seed));
+        compound ? run_random_compound_scenario(cluster) : run_random_scenario(cluster, seed);
+        if (cluster.violated_invariants().empty() && cluster.users().unfinished_jobs() == 0)
+            continue;
         ++bad;
         std::cout << "seed " << seed << "\n";
-        std::cout << world.describe_violations() << world.describe_unfinished() << std::flush;
+        std::cout << cluster.describe_violations() << cluster.users().describe_unfinished()
+                  << std::flush;
     }
     std::cout << count << " seeds, " << bad << " bad\n";
     return bad == 0 ? 0 : 1;
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -11,9 +11,9 @@
 namespace dunebridge::sim {
 namespace {
 
-constexpr Millis kTroubled{90000};
+constexpr Millis kFaultTime{90000};
 
-ScenarioOptions busy_day(std::uint64_t seed) {
+ScenarioOptions busy_options(std::uint64_t seed) {
     ScenarioOptions options;
     options.seed = seed;
     options.fault_every_s = 0;
@@ -53,41 +53,41 @@
 class LostResponses : public testing::TestWithParam<std::uint64_t> {};
 
 // The leader keeps its term while a share of the transactions has no answer in time.
-void expect_no_term_lost(std::uint64_t seed, void (SimulatedCluster::*lose)(double, Millis)) {
-    SimulatedCluster world(busy_day(seed));
-    world.run_for(Millis(10000));
-    const auto terms = world.terms();
-    (world.*lose)(0.25, kTroubled);
-    world.run_for(kTroubled);
-    EXPECT_EQ(world.terms(), terms);
-    world.run();
-    expect_completed(world);
+void expect_no_term_lost(std::uint64_t seed, void (FaultInjector::*lose)(double, Millis)) {
+    SimulatedCluster cluster(busy_options(seed));
+    cluster.run_for(Millis(10000));
+    const auto terms = cluster.statistics().terms;
+    (cluster.faults().*lose)(0.25, kFaultTime);
+    cluster.run_for(kFaultTime);
+    EXPECT_EQ(cluster.statistics().terms, terms);
+    cluster.run();
+    expect_completed(cluster);
 }
 
 // Before, each lost answer cost a term and a load of the ledger: one every three seconds.
 TEST_P(LostResponses, OfTransactionsCarriedOutLateCostNoTerm) {
-    expect_no_term_lost(GetParam(), &SimulatedCluster::delay_transactions);
+    expect_no_term_lost(GetParam(), &FaultInjector::delay_transactions);
 }
 
 TEST_P(LostResponses, OfTransactionsCarriedOutAtOnceCostNoTerm) {
-    expect_no_term_lost(GetParam(), &SimulatedCluster::drop_transaction_responses);
+    expect_no_term_lost(GetParam(), &FaultInjector::drop_transaction_responses);
 }
 
 // Both kinds at once, while jobs are cancelled and leaders change.
 TEST_P(LostResponses, AndCancellationsAndOtherLeaders) {
-    SimulatedCluster world(busy_day(GetParam()));
-    world.run_for(Millis(10000));
-    world.delay_transactions(0.3, kTroubled);
-    world.drop_transaction_responses(0.3, kTroubled);
-    world.cancel_on_completion(0.5, kTroubled);
+    SimulatedCluster cluster(busy_options(GetParam()));
+    cluster.run_for(Millis(10000));
+    cluster.faults().delay_transactions(0.3, kFaultTime);
+    cluster.faults().drop_transaction_responses(0.3, kFaultTime);
+    cluster.faults().cancel_on_completion(0.5, kFaultTime);
     for (int n = 0; n < 6; ++n) {
-        world.cancel_running(2);
-        world.run_for(Millis(8000));
-        if (n % 2 == 1) world.crash_leader(Millis(300));
-        world.run_for(Millis(5000));
+        cluster.faults().cancel_running(2);
+        cluster.run_for(Millis(8000));
+        if (n % 2 == 1) cluster.faults().crash_leader(Millis(300));
+        cluster.run_for(Millis(5000));
     }
-    world.run();
-    expect_completed(world);
+    cluster.run();
+    expect_completed(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, LostResponses, testing::Range<std::uint64_t>(1, 7));
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -30,9 +30,9 @@
     return o;
 }
 
-void expect_good(SimulatedCluster& world) {
-    world.run();
-    expect_completed(world, 1000);
+void run_and_expect_completed(SimulatedCluster& cluster) {
+    cluster.run();
+    expect_completed(cluster, 1000);
 }
 
 // Written by the version in production (deploy/service.toml), for a job of three tasks: the first
@@ -315,32 +315,33 @@
 // Processes are replaced one after the other while leaders come and go and jobs are cancelled; the
 // format changes once all have shown the new version, and then the limits fall.
 TEST_P(Upgrade, BothVersionsServeAndTheLimitsFall) {
-    SimulatedCluster world(large_jobs(GetParam()));
-    world.run_for(s(50));
-    for (std::size_t i = 0; i < world.nodes(); ++i) {
-        world.upgrade((i + GetParam()) % world.nodes(), s(3));
-        world.run_for(s(4));
+    SimulatedCluster cluster(large_jobs(GetParam()));
+    cluster.run_for(s(50));
+    for (std::size_t i = 0; i < cluster.controllers().size(); ++i) {
+        cluster.faults().upgrade((i + GetParam()) % cluster.controllers().size(), s(3));
+        cluster.run_for(s(4));
         // Leadership goes to and fro between the versions.
         if (i == 1) {
-            world.cut_node(world.leader(), {true, true, false}, true, s(5));
+            cluster.faults().partition_controller(cluster.controllers().leader(),
+                                                  {true, true, false}, LinkFault::delay, s(5));
         } else {
-            world.crash_leader(s(1));
+            cluster.faults().crash_leader(s(1));
         }
-        world.cancel_running(1);
-        world.run_for(s(6));
-        if (i + 1 < world.nodes()) {
-            EXPECT_EQ(world.format(), config::kChunkFormat);
+        cluster.faults().cancel_running(1);
+        cluster.run_for(s(6));
+        if (i + 1 < cluster.controllers().size()) {
+            EXPECT_EQ(cluster.record_format(), config::kChunkFormat);
         }
     }
-    world.run_for(s(10));
-    EXPECT_EQ(world.format(), config::kNewestFormat);
-    world.lower_limits();
-    world.run_for(s(20));
-    world.crash_leader(s(2));
-    world.delay_transactions(0.2, s(20));
-    expect_good(world);
+    cluster.run_for(s(10));
+    EXPECT_EQ(cluster.record_format(), config::kNewestFormat);
+    cluster.faults().lower_limits();
+    cluster.run_for(s(20));
+    cluster.faults().crash_leader(s(2));
+    cluster.faults().delay_transactions(0.2, s(20));
+    run_and_expect_completed(cluster);
     // All values and transactions were within the smaller limits by then.
-    EXPECT_EQ(world.state().violations(), 0u);
+    EXPECT_EQ(cluster.kv_store().violations(), 0u);
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, Upgrade, testing::Range<std::uint64_t>(1, 5));
 
@@ -354,103 +355,107 @@
 void PrintTo(const RollOut& rollout, std::ostream* out) { *out << rollout.name; }
 
 // One after the other, beginning with the node, a few seconds apart.
-void one_by_one(SimulatedCluster& world, std::size_t first) {
-    for (std::size_t i = 0; i < world.nodes(); ++i) {
-        world.upgrade((first + i) % world.nodes(), s(3));
-        world.run_for(s(8));
+void one_by_one(SimulatedCluster& cluster, std::size_t first) {
+    for (std::size_t i = 0; i < cluster.controllers().size(); ++i) {
+        cluster.faults().upgrade((first + i) % cluster.controllers().size(), s(3));
+        cluster.run_for(s(8));
     }
 }
 
 const RollOut kRollOuts[] = {
-    {"TheLeaderFirst", [](SimulatedCluster& world) { one_by_one(world, world.leader()); }},
-    {"TheLeaderLast", [](SimulatedCluster& world) { one_by_one(world, world.leader() + 1); }},
+    {"TheLeaderFirst",
+     [](SimulatedCluster& cluster) { one_by_one(cluster, cluster.controllers().leader()); }},
+    {"TheLeaderLast",
+     [](SimulatedCluster& cluster) { one_by_one(cluster, cluster.controllers().leader() + 1); }},
     {"TwoAtOnce",
-     [](SimulatedCluster& world) {
-         const auto leader = world.leader();
-         world.upgrade(leader, s(3));
-         world.upgrade((leader + 1) % world.nodes(), s(3));
-         world.run_for(s(10));
-         world.upgrade((leader + 2) % world.nodes(), s(3));
+     [](SimulatedCluster& cluster) {
+         const auto leader = cluster.controllers().leader();
+         cluster.faults().upgrade(leader, s(3));
+         cluster.faults().upgrade((leader + 1) % cluster.controllers().size(), s(3));
+         cluster.run_for(s(10));
+         cluster.faults().upgrade((leader + 2) % cluster.controllers().size(), s(3));
      }},
     {"AllAtOnce",
-     [](SimulatedCluster& world) {
-         for (std::size_t i = 0; i < world.nodes(); ++i) world.upgrade(i, s(2));
+     [](SimulatedCluster& cluster) {
+         for (std::size_t i = 0; i < cluster.controllers().size(); ++i)
+             cluster.faults().upgrade(i, s(2));
      }},
     {"OneDiesEarlyAndComesBackOld",
-     [](SimulatedCluster& world) {
-         const auto leader = world.leader();
-         world.upgrade(leader, s(3));
-         world.run_for(s(2));
-         world.crash_node((leader + 1) % world.nodes(), s(2));
-         world.run_for(s(8));
-         EXPECT_NE(world.format(), config::kNewestFormat);
-         one_by_one(world, leader + 1);
+     [](SimulatedCluster& cluster) {
+         const auto leader = cluster.controllers().leader();
+         cluster.faults().upgrade(leader, s(3));
+         cluster.run_for(s(2));
+         cluster.faults().crash_controller((leader + 1) % cluster.controllers().size(), s(2));
+         cluster.run_for(s(8));
+         EXPECT_NE(cluster.record_format(), config::kNewestFormat);
+         one_by_one(cluster, leader + 1);
      }},
     {"BackWithinAFractionOfASecondInMidElection",
-     [](SimulatedCluster& world) {
-         for (std::size_t i = 0; i < world.nodes(); ++i) {
-             world.crash_leader(s(0.2));
-             world.run_for(s(0.4));
-             world.upgrade(i, s(0.2));
-             world.run_for(s(0.5));
-             world.crash_node(i + 1, s(0.3));
-             world.run_for(s(6));
+     [](SimulatedCluster& cluster) {
+         for (std::size_t i = 0; i < cluster.controllers().size(); ++i) {
+             cluster.faults().crash_leader(s(0.2));
+             cluster.run_for(s(0.4));
+             cluster.faults().upgrade(i, s(0.2));
+             cluster.run_for(s(0.5));
+             cluster.faults().crash_controller(i + 1, s(0.3));
+             cluster.run_for(s(6));
          }
      }},
     {"AnOutageOfTheStateService",
-     [](SimulatedCluster& world) {
-         world.upgrade(0, s(3));
-         world.run_for(s(5));
-         world.kv_store_outage(s(30));
-         world.upgrade(1, s(3));
-         world.cancel_running(2);
-         world.run_for(s(10));
-         world.upgrade(2, s(3));
-         world.run_for(s(25));
+     [](SimulatedCluster& cluster) {
+         cluster.faults().upgrade(0, s(3));
+         cluster.run_for(s(5));
+         cluster.faults().kv_store_outage(s(30));
+         cluster.faults().upgrade(1, s(3));
+         cluster.faults().cancel_running(2);
+         cluster.run_for(s(10));
+         cluster.faults().upgrade(2, s(3));
+         cluster.run_for(s(25));
      }},
     {"TheLeaderRefused",
-     [](SimulatedCluster& world) {
-         const auto leader = world.leader();
-         world.upgrade((leader + 1) % world.nodes(), s(3));
-         world.run_for(s(5));
-         world.refuse_leader(s(20));
-         world.cancel_running(2);
-         world.run_for(s(10));
-         one_by_one(world, leader + 2);
+     [](SimulatedCluster& cluster) {
+         const auto leader = cluster.controllers().leader();
+         cluster.faults().upgrade((leader + 1) % cluster.controllers().size(), s(3));
+         cluster.run_for(s(5));
+         cluster.faults().refuse_leader(s(20));
+         cluster.faults().cancel_running(2);
+         cluster.run_for(s(10));
+         one_by_one(cluster, leader + 2);
      }},
     {"AZoneCutOff",
-     [](SimulatedCluster& world) {
-         world.upgrade(0, s(3));
-         world.run_for(s(5));
-         world.cut_zone("a", 1, s(20));
-         world.upgrade(2, s(3));
-         world.run_for(s(25));
-         world.upgrade(1, s(3));
+     [](SimulatedCluster& cluster) {
+         cluster.faults().upgrade(0, s(3));
+         cluster.run_for(s(5));
+         cluster.faults().partition_zone("a", 1, s(20));
+         cluster.faults().upgrade(2, s(3));
+         cluster.run_for(s(25));
+         cluster.faults().upgrade(1, s(3));
      }},
     {"TwoZonesApart",
-     [](SimulatedCluster& world) {
-         const auto leader = world.leader();
-         world.upgrade((leader + 1) % world.nodes(), s(3));
-         world.run_for(s(5));
-         world.cut_node(leader, {false, true, false}, true, s(20));
-         world.inject_worker_fault(SimulatedCluster::WorkerFault::held, 50, s(20));
-         world.run_for(s(8));
-         one_by_one(world, leader + 2);
+     [](SimulatedCluster& cluster) {
+         const auto leader = cluster.controllers().leader();
+         cluster.faults().upgrade((leader + 1) % cluster.controllers().size(), s(3));
+         cluster.run_for(s(5));
+         cluster.faults().partition_controller(leader, {false, true, false}, LinkFault::delay,
+                                               s(20));
+         cluster.faults().inject_worker_fault(FaultInjector::WorkerFault::delayed, 50, s(20));
+         cluster.run_for(s(8));
+         one_by_one(cluster, leader + 2);
      }},
     {"LimitsFallBefore",
-     [](SimulatedCluster& world) {
-         world.lower_limits();
-         one_by_one(world, 0);
+     [](SimulatedCluster& cluster) {
+         cluster.faults().lower_limits();
+         one_by_one(cluster, 0);
      }},
     {"LimitsFallWithinWhileALeaderLoads",
-     [](SimulatedCluster& world) {
-         world.upgrade(0, s(3));
-         world.run_for(s(5));
-         world.delay_transactions(0.2, s(20));
-         world.crash_leader(s(1));
-         world.run_for(s(1.1));
-         world.lower_limits();
-         one_by_one(world, 1);
+     [](SimulatedCluster& cluster) {
+         cluster.faults().upgrade(0, s(3));
+         cluster.run_for(s(5));
+         cluster.faults().delay_transactions(0.2, s(20));
+         cluster.faults().crash_leader(s(1));
+         cluster.run_for(s(1.1));
+         cluster.faults().lower_limits();
+         one_by_one(cluster, 1);
      }},
 };
 
@@ -462,13 +467,13 @@
     auto options = large_jobs(seed);
     options.old_format = old_format;
     options.fan_in = 20;
-    SimulatedCluster world(options);
-    world.run_for(s(45));
-    rollout.upgrade_all(world);
-    world.run_for(s(15));
-    EXPECT_EQ(world.format(), config::kNewestFormat);
-    world.lower_limits();
-    expect_good(world);
+    SimulatedCluster cluster(options);
+    cluster.run_for(s(45));
+    rollout.upgrade_all(cluster);
+    cluster.run_for(s(15));
+    EXPECT_EQ(cluster.record_format(), config::kNewestFormat);
+    cluster.faults().lower_limits();
+    run_and_expect_completed(cluster);
 }
 INSTANTIATE_TEST_SUITE_P(EveryOrder, Rollouts,
                          testing::Combine(testing::ValuesIn(kRollOuts),
@@ -483,22 +488,22 @@
 // One controller stays away, so that the older format stays in force when the limits fall: the
 // ledger goes on working, with what fits.
 TEST(LimitsBeforeFormatSwitch, TheLedgerGoesOnWorking) {
-    SimulatedCluster world(large_jobs(9));
-    world.run_for(s(40));
-    world.upgrade(1, s(2));
-    world.upgrade(2, s(2));
-    world.crash_node(0, s(70));
-    world.run_for(s(30));
-    EXPECT_EQ(world.format(), config::kChunkFormat);
-    world.lower_limits();
-    world.run_for(s(25));
-    const auto started = world.tasks_started();
-    world.run_for(s(15));
-    EXPECT_GT(world.tasks_started(), started);
-    EXPECT_EQ(world.format(), config::kChunkFormat);
-    world.upgrade(0, s(2));
-    expect_good(world);
-    EXPECT_EQ(world.format(), config::kNewestFormat);
+    SimulatedCluster cluster(large_jobs(9));
+    cluster.run_for(s(40));
+    cluster.faults().upgrade(1, s(2));
+    cluster.faults().upgrade(2, s(2));
+    cluster.faults().crash_controller(0, s(70));
+    cluster.run_for(s(30));
+    EXPECT_EQ(cluster.record_format(), config::kChunkFormat);
+    cluster.faults().lower_limits();
+    cluster.run_for(s(25));
+    const auto started = cluster.statistics().tasks_started;
+    cluster.run_for(s(15));
+    EXPECT_GT(cluster.statistics().tasks_started, started);
+    EXPECT_EQ(cluster.record_format(), config::kChunkFormat);
+    cluster.faults().upgrade(0, s(2));
+    run_and_expect_completed(cluster);
+    EXPECT_EQ(cluster.record_format(), config::kNewestFormat);
 }
 
 }  // namespace
