--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -52,7 +52,7 @@
 
 void Provisioner::tick() {
     list_.tick();
-    scale_in_.check();
+    scale_in_.check_machines();
     if (context_.now() >= next_resize_) {
         next_resize_ = context_.now() + kResizeEvery;
         resize();
--- /dev/null
+++ b/src/provisioning/release_policy.cpp
@@ -0,0 +1,134 @@
+#include "provisioning/release_policy.hpp"
+
+#include <algorithm>
+#include <cstddef>
+
+namespace dunebridge::provisioning {
+
+using state::JobState;
+using state::Machine;
+
+namespace {
+// So many heartbeats of a machine with tasks may be missed before the machine is released.
+constexpr int kMissedHeartbeats = 7;
+constexpr Millis kSilenceMargin{3000};
+// How long a machine without tasks may stay without a heartbeat to this term's leader.
+constexpr Millis kNoHeartbeatLimit{15000};
+// If so many machines, and more than half of the fleet, are silent at once, the cause is more
+// likely this controller's own network.
+constexpr std::size_t kManySilent = 3;
+// The cloud's list lags: a machine counts as missing from it only after so many lists.
+constexpr std::uint32_t kMissedListings = 2;
+}  // namespace
+
+const char* to_string(ScaleInReason reason) {
+    switch (reason) {
+        case ScaleInReason::idle:
+            return "idle";
+        case ScaleInReason::drained:
+            return "drained";
+        case ScaleInReason::boot_timeout:
+            return "boot_timeout";
+        case ScaleInReason::failed:
+            return "failed";
+        case ScaleInReason::preempted:
+            return "preempted";
+        case ScaleInReason::missing_from_list:
+            return "missing_from_list";
+        case ScaleInReason::no_heartbeat_this_term:
+            return "no_heartbeat_this_term";
+        case ScaleInReason::heartbeats_lost:
+            return "heartbeats_lost";
+        case ScaleInReason::replies_unacknowledged:
+            return "replies_unacknowledged";
+        case ScaleInReason::cancellation_unconfirmed:
+            return "cancellation_unconfirmed";
+    }
+    return "";
+}
+
+void ReleasePolicy::observe_fleet() {
+    std::size_t known = 0;
+    std::size_t silent = 0;
+    for (const auto& [host, machine] : state_.machines()) {
+        const bool unheard_and_empty = !machine.worker.heartbeat_received && machine.tasks.empty();
+        if (machine.instance.deleting || unheard_and_empty) continue;
+        ++known;
+        if (liveness_.is_late(machine)) ++silent;
+    }
+    most_machines_silent_ = silent >= kManySilent && silent * 2 > known;
+    const auto& jobs = state_.jobs();
+    ended_jobs_hold_tasks_ = std::any_of(jobs.begin(), jobs.end(), [](const auto& entry) {
+        return entry.second.state == JobState::terminal && entry.second.placed > 0;
+    });
+}
+
+std::optional<ScaleInReason> ReleasePolicy::reason_to_release(const Machine& machine) const {
+    if (machine.worker.heartbeat_received) return reason_with_heartbeat(machine);
+    return reason_without_heartbeat(machine);
+}
+
+// How long a silent machine with tasks is waited for. A short network failure ends by itself, and
+// the tasks have run on meanwhile; after some missed heartbeats it is quicker to delete the
+// machine, which proves the tasks gone, than to wait for a long lease to expire.
+Millis ReleasePolicy::silence_limit() const {
+    return std::min(
+        config_.worker_lease + kSilenceMargin,
+        std::max(config_.heartbeat_interval * kMissedHeartbeats, config_.worker_lease * 6 / 10));
+}
+
+std::optional<ScaleInReason> ReleasePolicy::reason_without_heartbeat(const Machine& machine) const {
+    if (machine.tasks.empty()) return reason_without_heartbeat_or_tasks(machine);
+    // A new leader has received heartbeats only since its own term began.
+    const auto known_for = context_.now() - machine.worker.first_known_at;
+    const bool missing = machine.instance.missed_listings >= kMissedListings;
+    if (missing && known_for > silence_limit()) return ScaleInReason::missing_from_list;
+    const auto limit = most_machines_silent_ ? config_.worker_lease * 2 : silence_limit();
+    if (known_for <= limit) return std::nullopt;
+    return ScaleInReason::no_heartbeat_this_term;
+}
+
+std::optional<ScaleInReason> ReleasePolicy::reason_without_heartbeat_or_tasks(
+    const Machine& machine) const {
+    const auto known_for = context_.now() - machine.worker.first_known_at;
+    const bool missing = machine.instance.missed_listings >= kMissedListings;
+    // An earlier leader may have deleted it without seeing the confirmation: the list is late.
+    const auto list_limit = config_.machine_list_lag * 3 + kSilenceMargin;
+    if (missing && known_for > list_limit) return ScaleInReason::missing_from_list;
+    if (known_for <= kNoHeartbeatLimit) return std::nullopt;
+    if (!machine.instance.starting) return ScaleInReason::no_heartbeat_this_term;
+    const auto booting_for = context_.now() - machine.instance.provisioned_at;
+    if (booting_for <= boot_monitor_.boot_timeout(machine)) return std::nullopt;
+    return ScaleInReason::boot_timeout;
+}
+
+std::optional<ScaleInReason> ReleasePolicy::reason_with_heartbeat(const Machine& machine) const {
+    const bool missed_two = liveness_.is_silent(machine, config_.heartbeat_interval * 2);
+    const bool preempted = machine.preemption_at && context_.now() > *machine.preemption_at;
+    if (preempted && missed_two) return ScaleInReason::preempted;
+    const auto& instance = machine.instance;
+    const bool missing = instance.listed && instance.missed_listings >= kMissedListings;
+    if (missing && missed_two) return ScaleInReason::missing_from_list;
+    // No command reaches it, and its lease expires by itself.
+    if (liveness_.unresponsive_for(machine) > silence_limit()) {
+        return ScaleInReason::replies_unacknowledged;
+    }
+    // More likely this controller's own network than a failure of so many machines at once.
+    const bool lease_long_expired = liveness_.is_silent(machine, config_.worker_lease * 2);
+    if (most_machines_silent_ && !lease_long_expired) return std::nullopt;
+    const auto limit = machine.tasks.empty() ? config_.worker_lease : silence_limit();
+    if (liveness_.is_silent(machine, limit)) return ScaleInReason::heartbeats_lost;
+    if (machine.cordoned && machine.tasks.empty()) return ScaleInReason::drained;
+    return std::nullopt;
+}
+
+bool ReleasePolicy::holds_cancelled_tasks_too_long(const Machine& machine) const {
+    if (!ended_jobs_hold_tasks_) return false;
+    const auto limit = config_.cancellation_deadline * 2 / 5;
+    return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
+        const auto& job = *entry.second.job;
+        return job.state == JobState::terminal && context_.now() - job.terminal_since > limit;
+    });
+}
+
+}  // namespace dunebridge::provisioning
--- a/src/provisioning/scale_in.hpp
+++ b/src/provisioning/scale_in.hpp
@@ -1,16 +1,12 @@
-// Decides which machines are given up, and deletes them.
-//
-// A deletion that the cloud confirms proves that the machine and its tasks are gone; so it is also
-// the way out where nothing else can prove it.
+/// \file
+/// Releases machines: those that the release policy names, and those that others ask for.
 #pragma once
 
-#include <cstdint>
-#include <optional>
-#include <set>
-
 #include "config/config.hpp"
 #include "provisioning/boot_monitor.hpp"
 #include "provisioning/cloud_client.hpp"
+#include "provisioning/machine_deleter.hpp"
+#include "provisioning/release_policy.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
 #include "state/machine_type_catalog.hpp"
@@ -19,59 +15,37 @@
 
 namespace dunebridge::provisioning {
 
-// Why a machine is given up, as operators see it in the log (docs/operations.md).
-enum class ScaleInReason : std::uint8_t {
-    idle,
-    drained,          // it was to get no more tasks, and has none left
-    stuck,            // it never came up
-    failed,           // the cloud says so
-    taken,            // by the cloud, as announced
-    unlisted,         // the cloud's list lacks it
-    unheard,          // it has not reported to this term's leader
-    silent,           // it reports no more
-    unresponsive,     // it reports, and acknowledges nothing
-    cancelled_tasks,  // tasks of a cancelled job are not confirmed gone
-};
-
+/// Releases machines and deletes them in the cloud. Runs on the leader; the references must outlive
+/// it.
 class ScaleIn {
   public:
-    ScaleIn(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
+    ScaleIn(sansio::Context& context, CloudClient& cloud, state::ClusterState& cluster_state,
             const state::WorkerLiveness& liveness, state::ReleasedMachines& released_machines,
-            const state::MachineTypeCatalog& types, const BootMonitor& startups,
+            const state::MachineTypeCatalog& machine_types, const BootMonitor& boot_monitor,
             const config::Config& config);
 
-    // Another term begins.
-    void reset();
-    // Looks for machines to be given up, now and then.
-    void check();
-    // The machine is to be deleted.
-    void release(state::Machine& machine, ScaleInReason why);
-    void send_deletions();
+    /// Another term begins.
+    void reset() { deleter_.reset(); }
+    /// Applies the release policy to all machines, a few times a second at most. Also stops the
+    /// tasks of machines that are about to leave the fleet.
+    void check_machines();
+    /// Marks the machine as being deleted and queues its deletion; does nothing if that has been
+    /// done. Its tasks stay in the cluster state until the cloud confirms the deletion.
+    void release(state::Machine& machine, ScaleInReason reason);
+    /// Sends queued deletions.
+    void send_deletions() { deleter_.send(); }
 
   private:
-    void count_silent();
     void check_machine(state::Machine& machine);
-    std::optional<ScaleInReason> release_reason_without_heartbeat(
-        const state::Machine& machine) const;
-    std::optional<ScaleInReason> release_reason_with_heartbeat(const state::Machine& machine) const;
-    bool holds_cancelled_tasks_too_long(const state::Machine& machine) const;
-    void save_tasks(state::Machine& machine);
-    Millis patience() const;
+    void update_total_resources(state::Machine& machine) const;
+    void stop_tasks_before_departure(state::Machine& machine);
 
     sansio::Context& context_;
-    CloudClient& cloud_;
     state::ClusterState& state_;
-    const state::WorkerLiveness& liveness_;
-    state::ReleasedMachines& released_machines_;
-    const state::MachineTypeCatalog& types_;
-    const BootMonitor& boot_monitor_;
-    const config::Config& config_;
-    std::set<MachineName> released_;  // machines to be deleted
-    bool deleting_ = false;
-    Instant next_deletion_{};
+    const state::MachineTypeCatalog& machine_types_;
+    ReleasePolicy policy_;
+    MachineDeleter deleter_;
     Instant next_check_{};
-    bool many_silent_ = false;
-    bool tasks_of_ended_ = false;  // some machine has tasks of a job that is over
 };
 
 }  // namespace dunebridge::provisioning
