--- a/src/api/ancestor_check.cpp
+++ b/src/api/ancestor_check.cpp
@@ -64,21 +64,21 @@
          ++id) {
         preconditions.push_back({kv::terminal_key(*id), KeyRevision()});
     }
-    kv_client_.transact(preconditions, {}, kReadTimeout,
-                        [this, job, count](const kv::TransactionResult& result) {
-                            handle_result(job, count, result);
-                        });
+    kv_client_.compare_and_swap(preconditions, {}, kReadTimeout,
+                                [this, job, count](const kv::TransactionResult& result) {
+                                    handle_result(job, count, result);
+                                });
 }
 
 void AncestorCheck::handle_result(const JobId& job, std::size_t checked,
                                   const kv::TransactionResult& result) {
     const auto it = checks_.find(job);
     if (it == checks_.end()) return;
-    if (result.outcome == kv::Outcome::ok) {
+    if (result.outcome == kv::TransactionOutcome::ok) {
         auto& unchecked = it->second.unchecked;
         unchecked.resize(unchecked.size() - checked);
         check_next(job);
-    } else if (result.outcome == kv::Outcome::conflict) {
+    } else if (result.outcome == kv::TransactionOutcome::conflict) {
         std::vector<JobId> terminal;
         terminal.reserve(result.failed.size());
         for (const auto& key : result.failed) {
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -38,8 +38,8 @@
 
 void DependencyLookup::read_job_records(const SharedLookup& lookup) {
     kv_client_.get_each(kv::kJobPrefix, lookup->unread, kReadTimeout,
-                        [this, lookup](const kv::RowsResult& rows) {
-                            if (!rows.answered || is_late(*lookup)) {
+                        [this, lookup](const kv::MultiGetResult& rows) {
+                            if (!rows.available || is_late(*lookup)) {
                                 finish(lookup, Outcome::unavailable);
                             } else {
                                 take_job_records(lookup, rows);
@@ -47,11 +47,12 @@
                         });
 }
 
-void DependencyLookup::take_job_records(const SharedLookup& lookup, const kv::RowsResult& rows) {
+void DependencyLookup::take_job_records(const SharedLookup& lookup,
+                                        const kv::MultiGetResult& rows) {
     auto& ancestors = lookup->result.ancestors;
     for (const auto& id : lookup->unread) {
-        const auto row = rows.rows.find(kv::kJobPrefix + id);
-        if (row == rows.rows.end()) {
+        const auto row = rows.entries.find(kv::kJobPrefix + id);
+        if (row == rows.entries.end()) {
             lookup->without_record.push_back(id);
             continue;
         }
@@ -72,8 +73,8 @@
 // accepted.
 void DependencyLookup::read_terminal_records(const SharedLookup& lookup) {
     kv_client_.get_each(kv::kTerminalPrefix, lookup->without_record, kReadTimeout,
-                        [this, lookup](const kv::RowsResult& rows) {
-                            if (!rows.answered || is_late(*lookup)) {
+                        [this, lookup](const kv::MultiGetResult& rows) {
+                            if (!rows.available || is_late(*lookup)) {
                                 finish(lookup, Outcome::unavailable);
                             } else if (!take_terminal_records(*lookup, rows)) {
                                 finish(lookup, Outcome::never_accepted);
@@ -83,10 +84,10 @@
                         });
 }
 
-bool DependencyLookup::take_terminal_records(Lookup& lookup, const kv::RowsResult& rows) {
+bool DependencyLookup::take_terminal_records(Lookup& lookup, const kv::MultiGetResult& rows) {
     for (const auto& id : lookup.without_record) {
-        const auto row = rows.rows.find(kv::kTerminalPrefix + id);
-        if (row == rows.rows.end()) return false;
+        const auto row = rows.entries.find(kv::kTerminalPrefix + id);
+        if (row == rows.entries.end()) return false;
         const auto terminal = kv::decode_terminal_record(row->second.value);
         if (terminal.done()) {
             const JobId job(id);
@@ -106,7 +107,7 @@
     const auto job = lookup->with_parts.back();
     lookup->with_parts.pop_back();
     kv_client_.list(kv::dependency_prefix(job), [this, lookup](const kv::ListResult& parts) {
-        if (!parts.answered || is_late(*lookup)) {
+        if (!parts.available || is_late(*lookup)) {
             finish(lookup, Outcome::unavailable);
         } else {
             take_parts(lookup, parts);
@@ -116,11 +117,11 @@
 
 void DependencyLookup::take_parts(const SharedLookup& lookup, const kv::ListResult& parts) {
     try {
-        const auto jobs = jobs_in_parts(parts.rows);
+        const auto jobs = jobs_in_parts(parts.entries);
         auto& ancestors = lookup->result.ancestors;
         ancestors.insert(ancestors.end(), jobs.begin(), jobs.end());
     } catch (const wire::DecodeError& e) {
-        fail_on_invalid_record(lookup, parts.rows.front().key, e);
+        fail_on_invalid_record(lookup, parts.entries.front().key, e);
         return;
     }
     read_next_parts(lookup);
@@ -141,7 +142,7 @@
     lookup->on_finished(lookup->result);
 }
 
-std::vector<JobId> jobs_in_parts(const std::vector<kv::Row>& parts) {
+std::vector<JobId> jobs_in_parts(const std::vector<kv::Entry>& parts) {
     std::vector<JobId> jobs;
     for (const auto& row : parts) {
         const auto part = kv::decode_dependency_part(row.value);
--- a/src/api/dependency_lookup.hpp
+++ b/src/api/dependency_lookup.hpp
@@ -51,10 +51,10 @@
     using SharedLookup = std::shared_ptr<Lookup>;
 
     void read_job_records(const SharedLookup& lookup);
-    void take_job_records(const SharedLookup& lookup, const kv::RowsResult& rows);
+    void take_job_records(const SharedLookup& lookup, const kv::MultiGetResult& rows);
     void read_terminal_records(const SharedLookup& lookup);
     /// Returns whether each job without a job record has a terminal record.
-    bool take_terminal_records(Lookup& lookup, const kv::RowsResult& rows);
+    bool take_terminal_records(Lookup& lookup, const kv::MultiGetResult& rows);
     void read_next_parts(const SharedLookup& lookup);
     void take_parts(const SharedLookup& lookup, const kv::ListResult& parts);
     void fail_on_invalid_record(const SharedLookup& lookup, const std::string& key,
@@ -68,6 +68,6 @@
 };
 
 /// The jobs named in a job's dependency records, sorted, each once. Throws wire::DecodeError.
-std::vector<JobId> jobs_in_parts(const std::vector<kv::Row>& parts);
+std::vector<JobId> jobs_in_parts(const std::vector<kv::Entry>& parts);
 
 }  // namespace dunebridge::api
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -50,7 +50,7 @@
     const bool terminal = lookups_.at(job).next_read == FirstRead::terminal_record;
     const auto key = terminal ? kv::terminal_key(job) : kv::job_key(job);
     kv_client_.get(key, kReadTimeout, [this, job, terminal](const kv::GetResult& result) {
-        if (!result.answered) {
+        if (!result.available) {
             finish(job, Outcome::unavailable);
         } else if (terminal) {
             handle_terminal_record(job, result);
@@ -61,33 +61,33 @@
 }
 
 void JobLookup::handle_terminal_record(const JobId& job, const kv::GetResult& result) {
-    if (!result.row) {
+    if (!result.entry) {
         lookups_.at(job).next_read = FirstRead::job_record;
         unsent_.push_front(job);
         return;
     }
-    const auto record = kv::decode_terminal_record(result.row->value);
+    const auto record = kv::decode_terminal_record(result.entry->value);
     const auto tasks_done = record.done() ? record.tasks.value_or(0) : 0;
     finish(job, Outcome::terminal, {job, record.phase, tasks_done, 0});
 }
 
 void JobLookup::handle_job_record(const JobId& job, const kv::GetResult& result) {
-    if (!result.row) {
+    if (!result.entry) {
         cache_.set_record(job, KeyRevision());
         cache_.set_ancestors(job, {});
         finish(job, Outcome::no_record);
         return;
     }
     try {
-        const auto record = kv::decode_job_record(result.row->value);
-        cache_.set_record(job, result.row->rev);
+        const auto record = kv::decode_job_record(result.entry->value);
+        cache_.set_record(job, result.entry->rev);
         if (record.dependency_parts > 0) {
             read_parts(job, record.dependency_parts);
             return;
         }
         cache_.set_ancestors(job, record.ancestors);
     } catch (const wire::DecodeError& e) {
-        fail_on_invalid_record(job, result.row->key, e);
+        fail_on_invalid_record(job, result.entry->key, e);
         return;
     }
     finish(job, Outcome::has_record);
@@ -103,16 +103,16 @@
 // terminal. Where they can't be had, the job record is forgotten, so that it is read again.
 void JobLookup::handle_parts(const JobId& job, std::uint64_t expected,
                              const kv::ListResult& parts) {
-    if (!parts.answered || parts.rows.size() != expected) {
+    if (!parts.available || parts.entries.size() != expected) {
         cache_.set_record(job, KeyRevision());
         finish(job, Outcome::unavailable);
         return;
     }
     try {
-        cache_.set_ancestors(job, jobs_in_parts(parts.rows));
+        cache_.set_ancestors(job, jobs_in_parts(parts.entries));
     } catch (const wire::DecodeError& e) {
         cache_.set_record(job, KeyRevision());
-        fail_on_invalid_record(job, parts.rows.front().key, e);
+        fail_on_invalid_record(job, parts.entries.front().key, e);
         return;
     }
     finish(job, Outcome::has_record);
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -8,8 +8,8 @@
 namespace dunebridge::api {
 
 using kv::job_key;
-using kv::Outcome;
 using kv::terminal_key;
+using kv::TransactionOutcome;
 using wire::JobPhase;
 using wire::JobStatus;
 
@@ -177,13 +177,14 @@
         {terminal_key(pending.job), KeyRevision()}};
     const std::vector<wire::Write> writes{
         {terminal_key(pending.job), cancelled_record(context_.wall_ms()), std::nullopt}};
-    kv_client_.transact(
+    kv_client_.compare_and_swap(
         preconditions, writes, kWriteTimeout,
         [this, pending = std::move(pending)](const kv::TransactionResult& result) mutable {
-            if (result.outcome == Outcome::ok) {
+            if (result.outcome == TransactionOutcome::ok) {
                 const JobStatus end{pending.job, JobPhase::cancelled, 0, 0};
                 end_found(std::move(pending), end);
-            } else if (result.outcome == Outcome::conflict && ++pending.tries <= kMaxTries) {
+            } else if (result.outcome == TransactionOutcome::conflict &&
+                       ++pending.tries <= kMaxTries) {
                 lookup_records_.start(std::move(pending), JobLookup::FirstRead::terminal_record);
             } else {
                 answer_unavailable(pending);
--- a/src/api/linearizable_reads.cpp
+++ b/src/api/linearizable_reads.cpp
@@ -7,8 +7,8 @@
 namespace dunebridge::api {
 
 using kv::job_key;
-using kv::Outcome;
 using kv::terminal_key;
+using kv::TransactionOutcome;
 
 // Returns whether the request now waits for a check of its job's ancestors.
 bool JobService::check_ancestors_first(PendingRequest& pending) {
@@ -60,7 +60,7 @@
         batch.push_back(std::move(pending));
     }
     ++confirming_;
-    kv_client_.transact(
+    kv_client_.compare_and_swap(
         preconditions, {}, kReadTimeout,
         [this, batch = std::move(batch)](const kv::TransactionResult& result) mutable {
             --confirming_;
@@ -81,11 +81,11 @@
 }
 
 void JobService::confirmed(std::vector<PendingRequest> batch, const kv::TransactionResult& result) {
-    if (result.outcome == Outcome::ok) {
+    if (result.outcome == TransactionOutcome::ok) {
         for (const auto& pending : batch) answer_confirmed(pending);
         return;
     }
-    if (result.outcome != Outcome::conflict) {
+    if (result.outcome != TransactionOutcome::conflict) {
         for (const auto& pending : batch) answer_unavailable(pending);
         return;
     }
@@ -174,11 +174,11 @@
     ids.reserve(ended.size());
     for (const auto& id : ended) ids.push_back(id.get());
     const auto then = [this, ended,
-                       pending = std::move(pending)](const kv::RowsResult& rows) mutable {
+                       pending = std::move(pending)](const kv::MultiGetResult& rows) mutable {
         bool any_cancelled = false;
         for (const auto& id : ended) {
-            const auto row = rows.rows.find(terminal_key(id));
-            if (!rows.answered || row == rows.rows.end()) {
+            const auto row = rows.entries.find(terminal_key(id));
+            if (!rows.available || row == rows.entries.end()) {
                 answer_unavailable(pending);
                 return;
             }
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -9,8 +9,8 @@
 namespace dunebridge::api {
 
 using kv::job_key;
-using kv::Outcome;
 using kv::terminal_key;
+using kv::TransactionOutcome;
 using wire::JobPhase;
 using wire::JobStatus;
 
@@ -71,8 +71,8 @@
     }
     kv_client_.get(kv::kFormatMark, kReadTimeout,
                    [this, pending = std::move(pending)](const kv::GetResult& result) mutable {
-                       if (result.answered && result.row) {
-                           format_ = result.row->value["v"].count().value_or(format_);
+                       if (result.available && result.entry) {
+                           format_ = result.entry->value["v"].count().value_or(format_);
                        }
                        format_ >= config::kRangeFormat ? look_up_dependencies(std::move(pending))
                                                        : answer_unavailable(pending);
@@ -160,7 +160,7 @@
             batch.push_back(std::move(pending));
         }
         ++creating_;
-        kv_client_.transact(
+        kv_client_.compare_and_swap(
             preconditions, writes, kWriteTimeout,
             [this, batch = std::move(batch)](const kv::TransactionResult& result) mutable {
                 --creating_;
@@ -186,13 +186,13 @@
                               const kv::TransactionResult& result) {
     const std::set<std::string> failed(result.failed.begin(), result.failed.end());
     for (auto& pending : batch) {
-        if (result.outcome == Outcome::ok) {
+        if (result.outcome == TransactionOutcome::ok) {
             answer_created(pending, result.rev);
-        } else if (result.outcome == Outcome::refused && kv_client_.reachable()) {
+        } else if (result.outcome == TransactionOutcome::refused && kv_client_.reachable()) {
             // The service is over its rate: certainly not written, and taken again as the budget
             // allows.
             enqueue(std::move(pending));
-        } else if (result.outcome != Outcome::conflict) {
+        } else if (result.outcome != TransactionOutcome::conflict) {
             // Not written, or not known: the user's repeat finds out.
             answer_unavailable(pending);
         } else if (failed.contains(job_key(pending.job)) ||
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -2,7 +2,7 @@
 
 namespace dunebridge::coordination {
 
-using kv::Outcome;
+using kv::TransactionOutcome;
 using sansio::LogLevel;
 
 namespace {
@@ -62,14 +62,14 @@
     reading_ = true;
     kv_client_.list(kLeaderKey, [this](const kv::ListResult& result) {
         reading_ = false;
-        if (!result.answered) {
+        if (!result.available) {
             next_read_ = context_.now() + kRetry + context_.jitter(kRetry);
             return;
         }
         observed_ = true;
         watch_from_ = result.rev;
         bool found = false;
-        for (const auto& row : result.rows) {
+        for (const auto& row : result.entries) {
             if (row.key != kLeaderKey) continue;
             observe_leader_key(row.value, row.rev);
             found = true;
@@ -88,7 +88,7 @@
             return;
         }
         watch_from_ = result.rev;
-        for (const auto& change : result.changes) {
+        for (const auto& change : result.events) {
             if (change.key != kLeaderKey) continue;
             change.removed ? observe_no_leader() : observe_leader_key(change.value, change.rev);
         }
@@ -159,13 +159,13 @@
 
 void Election::read_term(KeyRevision over) {
     kv_client_.get(kTermKey, kTimeout, [this, over](const kv::GetResult& result) {
-        if (!result.answered) {
+        if (!result.available) {
             campaigning_ = false;
             next_campaign_ = context_.now() + kRetry + context_.jitter(kRetry);
             return;
         }
         TermRow last;
-        if (result.row) last = {Term(result.row->value.count().value_or(0)), result.row->rev};
+        if (result.entry) last = {Term(result.entry->value.count().value_or(0)), result.entry->rev};
         propose(last, over);
     });
 }
@@ -176,20 +176,21 @@
     const std::vector<wire::Write> writes{
         {kLeaderKey, leader_value(term), lease_},
         {kTermKey, wire::Writer().count(term.get()).take(), std::nullopt}};
-    kv_client_.transact(
+    kv_client_.compare_and_swap(
         preconditions, writes, kTimeout, [this, term](const kv::TransactionResult& result) {
             campaigning_ = false;
             next_campaign_ = context_.now() + kRetry + context_.jitter(kRetry);
-            if (result.outcome == Outcome::ok) {
+            if (result.outcome == TransactionOutcome::ok) {
                 if (!leader_ || leader_key_revision_ != result.rev) begin_term(term, result.rev);
                 return;
             }
-            if (result.outcome == Outcome::lease_expired) {
+            if (result.outcome == TransactionOutcome::lease_expired) {
                 lease_.reset();
                 next_campaign_ = context_.now();
             }
             // Lost, or not known: what the key says now decides.
-            if (result.outcome == Outcome::conflict || result.outcome == Outcome::unknown) {
+            if (result.outcome == TransactionOutcome::conflict ||
+                result.outcome == TransactionOutcome::unknown) {
                 observed_ = false;
                 next_read_ = context_.now();
             }
@@ -204,7 +205,7 @@
         renewing_ = false;
         const bool again_soon = renewal != kv::LeaseRenewal::renewed;
         next_renewal_ = context_.now() + config_.tuning.leader_lease / (again_soon ? 10 : 3);
-        if (renewal != kv::LeaseRenewal::ended) return;
+        if (renewal != kv::LeaseRenewal::expired) return;
         if (lease_ == lease) lease_.reset();
         if (leader_) step_down("the lease has ended");
         observed_ = false;
@@ -239,11 +240,11 @@
     step_down("it resigns");
     resigned_until_ = context_.now() + cooldown;
     // Only speeds things up: without it the key goes when its lease ends.
-    kv_client_.transact({key}, {{kLeaderKey, std::nullopt, std::nullopt}}, Millis(1500),
-                        [this](const kv::TransactionResult&) {
-                            observed_ = false;
-                            next_read_ = context_.now();
-                        });
+    kv_client_.compare_and_swap({key}, {{kLeaderKey, std::nullopt, std::nullopt}}, Millis(1500),
+                                [this](const kv::TransactionResult&) {
+                                    observed_ = false;
+                                    next_read_ = context_.now();
+                                });
 }
 
 void Election::require_new_term() {
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -23,26 +23,26 @@
 constexpr Millis kPageRetry{100};
 constexpr int kMaxPageRefusals = 50;
 
-Row row_of(wire::Value row, const std::shared_ptr<Document>& document) {
+Entry row_of(wire::Value row, const std::shared_ptr<Document>& document) {
     return {std::string(row["key"].text().value_or("")), document, row["value"],
             KeyRevision(row["key_rev"].count().value_or(0))};
 }
 
-Outcome outcome_of(const HttpResult& reply, wire::Value body) {
+TransactionOutcome outcome_of(const HttpResult& reply, wire::Value body) {
     switch (reply.status) {
         case 200:
-            return Outcome::ok;
+            return TransactionOutcome::ok;
         case 409:
-            return Outcome::conflict;
+            return TransactionOutcome::conflict;
         case 400:
-            return body["error"].text() == "no such lease" ? Outcome::lease_expired
-                                                           : Outcome::malformed;
+            return body["error"].text() == "no such lease" ? TransactionOutcome::lease_expired
+                                                           : TransactionOutcome::malformed;
         case HttpResult::kNoResponse:
         case 500:
         case 504:
-            return Outcome::unknown;
+            return TransactionOutcome::unknown;
         default:
-            return Outcome::refused;
+            return TransactionOutcome::refused;
     }
 }
 
@@ -67,10 +67,10 @@
     const auto root = document->root();
     const auto rev = root["key_rev"].count();
     if (!rev) return {};
-    return {true, Row{key, document, root["value"], KeyRevision(*rev)}};
+    return {true, Entry{key, document, root["value"], KeyRevision(*rev)}};
 }
 
-Change read_change(wire::Value change) {
+WatchEvent read_change(wire::Value change) {
     const bool removed = change.contains("remove");
     const auto key = change[removed ? "remove" : "set"].text().value_or("");
     return {std::string(key), removed, change["value"],
@@ -79,7 +79,7 @@
 
 WatchResult read_changes(const HttpResult& reply) {
     WatchResult result;
-    if (reply.status == 410) result.kind = WatchResult::Kind::too_old;
+    if (reply.status == 410) result.kind = WatchResult::Kind::compacted;
     auto doc = reply.status == 200 ? Document::parse(reply.body) : std::nullopt;
     if (!doc) return result;
     result.document = std::make_shared<Document>(std::move(*doc));
@@ -90,14 +90,14 @@
     }
     const auto changes = root["news"];
     for (std::size_t i = 0; i < changes.size(); ++i) {
-        result.changes.push_back(read_change(changes.at(i)));
+        result.events.push_back(read_change(changes.at(i)));
     }
     return result;
 }
 
 LeaseRenewal read_renewal(const HttpResult& reply) {
     if (reply.status == 200) return LeaseRenewal::renewed;
-    return reply.status == 404 ? LeaseRenewal::ended : LeaseRenewal::unknown;
+    return reply.status == 404 ? LeaseRenewal::expired : LeaseRenewal::unknown;
 }
 }  // namespace
 
@@ -137,9 +137,9 @@
     get("term", kProbeTimeout, [this](const GetResult&) { probing_ = false; });
 }
 
-void KvClient::transact(const std::vector<wire::Precondition>& preconditions,
-                        const std::vector<wire::Write>& writes, Millis timeout,
-                        std::function<void(const TransactionResult&)> then) {
+void KvClient::compare_and_swap(const std::vector<wire::Precondition>& preconditions,
+                                const std::vector<wire::Write>& writes, Millis timeout,
+                                std::function<void(const TransactionResult&)> then) {
     call("POST", "/multi", wire::encode_transaction(preconditions, writes), timeout,
          [then = std::move(then)](const HttpResult& reply) { then(read_transaction(reply)); });
 }
@@ -157,15 +157,15 @@
     std::vector<std::string> names;  // sorted
     std::size_t next = 0;            // the first that is not decided yet
     Millis timeout{};
-    RowsResult result;
-    std::function<void(const RowsResult&)> then;
+    MultiGetResult result;
+    std::function<void(const MultiGetResult&)> then;
 
     std::size_t left() const { return names.size() - next; }
     std::string key(std::size_t i) const { return prefix + names[i]; }
 };
 
 void KvClient::get_each(const std::string& prefix, std::vector<std::string> names, Millis timeout,
-                        std::function<void(const RowsResult&)> then) {
+                        std::function<void(const MultiGetResult&)> then) {
     const auto read = std::make_shared<ManyRead>();
     std::sort(names.begin(), names.end());
     *read = {prefix, std::move(names), 0, timeout, {}, std::move(then)};
@@ -174,7 +174,7 @@
 
 void KvClient::read_many(const std::shared_ptr<ManyRead>& read) {
     if (read->left() == 0) {
-        read->result.answered = true;
+        read->result.available = true;
         read->then(read->result);
         return;
     }
@@ -195,11 +195,11 @@
 
 void KvClient::read_one(const std::shared_ptr<ManyRead>& read) {
     get(read->key(read->next), read->timeout, [this, read](const GetResult& result) {
-        if (!result.answered) {
-            read->then(RowsResult{});
+        if (!result.available) {
+            read->then(MultiGetResult{});
             return;
         }
-        if (result.row) read->result.rows.emplace(result.row->key, *result.row);
+        if (result.entry) read->result.entries.emplace(result.entry->key, *result.entry);
         ++read->next;
         read_many(read);
     });
@@ -208,7 +208,7 @@
 void KvClient::take_page(const std::shared_ptr<ManyRead>& read, const HttpResult& reply) {
     auto page = reply.status == 200 ? Document::parse(reply.body) : std::nullopt;
     if (!page || !page->root()["rows"].is_list()) {
-        read->then(RowsResult{});
+        read->then(MultiGetResult{});
         return;
     }
     const auto document = std::make_shared<Document>(std::move(*page));
@@ -219,7 +219,7 @@
         if (read->left() == 0) break;
         if (read->key(read->next) != row.key) continue;
         ++read->next;
-        read->result.rows.emplace(row.key, std::move(row));
+        read->result.entries.emplace(row.key, std::move(row));
     }
     const bool more = document->root()["has_next"].boolean().value_or(false);
     if (!more || rows.size() == 0) read->next = read->names.size();
@@ -257,13 +257,13 @@
              if (first) so_far->rev = KeyRevision(root["store_rev"].count().value_or(0));
              const auto rows = root["rows"];
              for (std::size_t i = 0; i < rows.size(); ++i) {
-                 so_far->rows.push_back(row_of(rows.at(i), document));
+                 so_far->entries.push_back(row_of(rows.at(i), document));
              }
              if (root["has_next"].boolean().value_or(false) && rows.size() > 0) {
-                 list_page(prefix, so_far->rows.back().key, so_far, then);
+                 list_page(prefix, so_far->entries.back().key, so_far, then);
                  return;
              }
-             so_far->answered = true;
+             so_far->available = true;
              then(*so_far);
          });
 }
--- a/src/kv/client.hpp
+++ b/src/kv/client.hpp
@@ -15,7 +15,7 @@
 
 namespace dunebridge::kv {
 
-enum class Outcome : std::uint8_t {
+enum class TransactionOutcome : std::uint8_t {
     ok,
     conflict,   // a precondition did not hold; nothing was written
     refused,    // certainly not executed
@@ -25,12 +25,12 @@
 };
 
 struct TransactionResult {
-    Outcome outcome = Outcome::unknown;
+    TransactionOutcome outcome = TransactionOutcome::unknown;
     KeyRevision rev;
     std::vector<std::string> failed;
 };
 
-struct Row {
+struct Entry {
     std::string key;
     std::shared_ptr<wire::Document> document;  // keeps the value alive
     wire::Value value;
@@ -38,54 +38,54 @@
 };
 
 struct GetResult {
-    bool answered = false;
-    std::optional<Row> row;
+    bool available = false;
+    std::optional<Entry> entry;
 };
 
 // Rows by key; those that do not exist are absent.
-struct RowsResult {
-    bool answered = false;
-    std::map<std::string, Row> rows;
+struct MultiGetResult {
+    bool available = false;
+    std::map<std::string, Entry> entries;
 };
 
 struct ListResult {
-    bool answered = false;
-    std::vector<Row> rows;
+    bool available = false;
+    std::vector<Entry> entries;
     KeyRevision rev;   // of the first page: watching from here misses nothing
     int refusals = 0;  // of pages, for the rate
 };
 
-struct Change {
+struct WatchEvent {
     std::string key;
     bool removed = false;
     wire::Value value;
     KeyRevision rev;
 };
 struct WatchResult {
-    enum class Kind : std::uint8_t { changes, too_old, failed } kind = Kind::failed;
+    enum class Kind : std::uint8_t { changes, compacted, failed } kind = Kind::failed;
     KeyRevision rev;
-    std::vector<Change> changes;
+    std::vector<WatchEvent> events;
     std::shared_ptr<wire::Document> document;
 };
 
 enum class LeaseRenewal : std::uint8_t {
     renewed,
-    ended,   // the lease does not exist any more
-    unknown  // it may have been renewed
+    expired,  // the lease does not exist any more
+    unknown   // it may have been renewed
 };
 
 class KvClient {
   public:
     KvClient(sansio::Context& port, const config::Config& config);
 
-    void transact(const std::vector<wire::Precondition>& preconditions,
-                  const std::vector<wire::Write>& writes, Millis timeout,
-                  std::function<void(const TransactionResult&)> then);
+    void compare_and_swap(const std::vector<wire::Precondition>& preconditions,
+                          const std::vector<wire::Write>& writes, Millis timeout,
+                          std::function<void(const TransactionResult&)> then);
     void get(const std::string& key, Millis timeout, std::function<void(const GetResult&)> then);
     // Reads the keys that are the prefix and one of the names, with few requests: what lies between
     // two of them is read along where that takes fewer pages. Names end in a digit.
     void get_each(const std::string& prefix, std::vector<std::string> names, Millis timeout,
-                  std::function<void(const RowsResult&)> then);
+                  std::function<void(const MultiGetResult&)> then);
     // Reads a whole prefix, page after page.
     void list(const std::string& prefix, std::function<void(const ListResult&)> then);
     void watch(const std::string& prefix, KeyRevision from, Millis wait,
--- a/src/state/cluster_state_follower.cpp
+++ b/src/state/cluster_state_follower.cpp
@@ -45,12 +45,12 @@
     const auto* prefix = records == WatchedRecords::jobs ? kv::kJobPrefix : kv::kTerminalPrefix;
     const auto handle = [this, records, from,
                          sent_at = context_.now()](const kv::WatchResult& result) {
-        if (result.kind == kv::WatchResult::Kind::too_old) {
+        if (result.kind == kv::WatchResult::Kind::compacted) {
             // Changes have been missed: a new term reads everything again.
             election_.require_new_term();
             return;
         }
-        for (const auto& change : result.changes) apply_change(records, change);
+        for (const auto& change : result.events) apply_change(records, change);
         if (result.kind == kv::WatchResult::Kind::failed) {
             watch_after(kRetryBackoff, records, from);
             return;
@@ -68,7 +68,7 @@
     context_.after(delay, while_in_term(state_, [this, records, from] { watch(records, from); }));
 }
 
-void ClusterStateFollower::apply_change(WatchedRecords records, const kv::Change& change) {
+void ClusterStateFollower::apply_change(WatchedRecords records, const kv::WatchEvent& change) {
     if (change.removed) return;
     if (records == WatchedRecords::jobs) {
         add_new_job(change);
@@ -77,14 +77,14 @@
     }
 }
 
-void ClusterStateFollower::apply_terminal_record(const kv::Change& change) {
+void ClusterStateFollower::apply_terminal_record(const kv::WatchEvent& change) {
     const JobId id(kv::without_prefix(change.key, kv::kTerminalPrefix));
     const auto record = kv::decode_terminal_record(change.value);
     state_.mark_cancelled(id, record.at_ms);
     state_.ended(id, record.phase);
 }
 
-void ClusterStateFollower::add_new_job(const kv::Change& change) {
+void ClusterStateFollower::add_new_job(const kv::WatchEvent& change) {
     Job* job = nullptr;
     try {
         job = state_.add_job(kv::decode_job_record(change.value), change.rev);
@@ -106,7 +106,7 @@
     const auto handle = [this, id](const kv::ListResult& records) {
         auto* job = state_.find_job(id);
         if (!job) return;
-        if (!records.answered || records.rows.size() != job->dependency_parts) {
+        if (!records.available || records.entries.size() != job->dependency_parts) {
             context_.after(kDependenciesRetryBackoff,
                            while_in_term(state_, [this, id] { read_dependencies(id); }));
             return;
@@ -117,7 +117,7 @@
 }
 
 void ClusterStateFollower::apply_dependencies(Job& job, const kv::ListResult& records) {
-    const auto invalid = apply_rows(records.rows, [this, &job](const kv::Row& row) {
+    const auto invalid = apply_rows(records.entries, [this, &job](const kv::Entry& row) {
         apply_dependency_record(state_, job, row);
     });
     if (invalid) {
--- a/src/state/cluster_state_follower.hpp
+++ b/src/state/cluster_state_follower.hpp
@@ -36,9 +36,9 @@
     void watch(WatchedRecords records, KeyRevision from);
     void watch_after(Millis delay, WatchedRecords records, KeyRevision from);
     Millis longest_wait(WatchedRecords records) const;
-    void apply_change(WatchedRecords records, const kv::Change& change);
-    void add_new_job(const kv::Change& change);
-    void apply_terminal_record(const kv::Change& change);
+    void apply_change(WatchedRecords records, const kv::WatchEvent& change);
+    void add_new_job(const kv::WatchEvent& change);
+    void apply_terminal_record(const kv::WatchEvent& change);
     void read_dependencies(const JobId& id);
     void apply_dependencies(Job& job, const kv::ListResult& records);
 
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -49,12 +49,12 @@
 }
 
 void ClusterStateLoader::handle_rows(std::size_t step_index, const kv::ListResult& result) {
-    if (!result.answered) {
+    if (!result.available) {
         retry([this, step_index] { run_step(step_index); });
         return;
     }
     if (step_index == 0) first_revision_ = result.rev;
-    const auto invalid = apply_rows(result.rows, [this, step_index](const kv::Row& row) {
+    const auto invalid = apply_rows(result.entries, [this, step_index](const kv::Entry& row) {
         (this->*kSteps[step_index].apply)(row);
     });
     if (invalid) {
@@ -78,18 +78,18 @@
 
 // ---- steps ----
 
-void ClusterStateLoader::apply_job(const kv::Row& row) {
+void ClusterStateLoader::apply_job(const kv::Entry& row) {
     state_.add_job(kv::decode_job_record(row.value), row.rev);
 }
 
 // Those of a job that was created after the jobs were read are read by the follower.
-void ClusterStateLoader::apply_dependencies(const kv::Row& row) {
+void ClusterStateLoader::apply_dependencies(const kv::Entry& row) {
     const auto name = kv::without_prefix(row.key, kv::kDependencyPrefix);
     auto* job = state_.find_job(JobId(name.substr(0, name.rfind('/'))));
     if (job) apply_dependency_record(state_, *job, row);
 }
 
-void ClusterStateLoader::apply_scale_out(const kv::Row& row) {
+void ClusterStateLoader::apply_scale_out(const kv::Entry& row) {
     if (row.key == kv::kFormatMark && config_.newest_record_format >= config::kRangeFormat) {
         state_.restore_format(decode_format_mark(row.value, config_.newest_record_format));
     } else {
@@ -98,7 +98,7 @@
     state_.stored().set(row.key, row.rev);
 }
 
-void ClusterStateLoader::apply_progress(const kv::Row& row) {
+void ClusterStateLoader::apply_progress(const kv::Entry& row) {
     const auto record = decode_progress(row, config_.newest_record_format);
     state_.stored().set(row.key, row.rev);
     auto& job = job_with_progress(record.job, record.from + record.size);
@@ -164,17 +164,17 @@
                    unchecked = std::move(unchecked)](const kv::TransactionResult& result) mutable {
         handle_terminal_check(std::move(unchecked), count, result);
     };
-    kv_client_.transact(preconditions, {}, kTerminalCheckTimeout,
-                        while_in_term<kv::TransactionResult>(state_, std::move(handle)));
+    kv_client_.compare_and_swap(preconditions, {}, kTerminalCheckTimeout,
+                                while_in_term<kv::TransactionResult>(state_, std::move(handle)));
 }
 
 // The first `checked` jobs were compared.
 void ClusterStateLoader::handle_terminal_check(std::vector<JobId> unchecked, std::size_t checked,
                                                const kv::TransactionResult& result) {
-    if (result.outcome == kv::Outcome::ok) {
+    if (result.outcome == kv::TransactionOutcome::ok) {
         unchecked.erase(unchecked.begin(),
                         unchecked.begin() + static_cast<std::ptrdiff_t>(checked));
-    } else if (result.outcome == kv::Outcome::conflict && !result.failed.empty()) {
+    } else if (result.outcome == kv::TransactionOutcome::conflict && !result.failed.empty()) {
         for (const auto& key : result.failed) {
             const JobId id(kv::without_prefix(key, kv::kTerminalPrefix));
             state_.mark_cancelled(id, context_.wall_ms());
--- a/src/state/cluster_state_loader.hpp
+++ b/src/state/cluster_state_loader.hpp
@@ -33,16 +33,16 @@
     // Reads all records with a prefix, and applies them one by one.
     struct Step {
         const char* prefix;
-        void (ClusterStateLoader::*apply)(const kv::Row&);
+        void (ClusterStateLoader::*apply)(const kv::Entry&);
     };
     static const Step kSteps[];
 
     void run_step(std::size_t index);
     void handle_rows(std::size_t step_index, const kv::ListResult& result);
-    void apply_job(const kv::Row& row);
-    void apply_dependencies(const kv::Row& row);
-    void apply_scale_out(const kv::Row& row);
-    void apply_progress(const kv::Row& row);
+    void apply_job(const kv::Entry& row);
+    void apply_dependencies(const kv::Entry& row);
+    void apply_scale_out(const kv::Entry& row);
+    void apply_progress(const kv::Entry& row);
     Job& job_with_progress(const JobId& id, std::uint32_t task_count);
     void complete_jobs();
 
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -10,7 +10,7 @@
 
 using kv::kProgressPrefix;
 using kv::kTerminalPrefix;
-using kv::Outcome;
+using kv::TransactionOutcome;
 using kv::without_prefix;
 
 namespace {
@@ -113,9 +113,9 @@
 void ClusterStateWriter::handle_outcome(const StateTransaction& transaction,
                                         const kv::TransactionResult& result) {
     state_.set_committing(false);
-    if (result.outcome == Outcome::ok) {
+    if (result.outcome == TransactionOutcome::ok) {
         handle_committed(transaction, result.rev);
-    } else if (result.outcome == Outcome::unknown) {
+    } else if (result.outcome == TransactionOutcome::unknown) {
         // It may be applied at any later time. A new term over the own leader key fences it off.
         context_.log(sansio::LogLevel::info, "event=transaction_outcome_unknown term={}",
                      election_.term().get());
@@ -130,9 +130,9 @@
     for (auto& [host, machine] : state_.machines()) {
         for (auto& [key, placement] : machine.tasks) placement.in_commit = false;
     }
-    if (result.outcome == Outcome::conflict) {
+    if (result.outcome == TransactionOutcome::conflict) {
         handle_conflict(result);
-    } else if (result.outcome == Outcome::malformed) {
+    } else if (result.outcome == TransactionOutcome::malformed) {
         handle_too_large(transaction);
     } else {
         next_send_at_ = context_.now() + kRetryBackoff + context_.jitter(kRetryBackoff);
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -88,15 +88,15 @@
     reading_ = !names.empty();
     if (names.empty()) return;
     kv_client_.get_each(kv::kTerminalPrefix, std::move(names), kReadTimeout,
-                        [this, clears = clears_](const kv::RowsResult& rows) {
+                        [this, clears = clears_](const kv::MultiGetResult& rows) {
                             if (clears != clears_ || !callbacks_.active()) return;
-                            if (rows.answered) take_ends(rows);
+                            if (rows.available) take_ends(rows);
                             after(kReadAgain, [this] { read_ends(); });
                         });
 }
 
-void DependencyGraph::take_ends(const kv::RowsResult& rows) {
-    for (const auto& [key, row] : rows.rows) {
+void DependencyGraph::take_ends(const kv::MultiGetResult& rows) {
+    for (const auto& [key, row] : rows.entries) {
         const JobId id(kv::without_prefix(key, kv::kTerminalPrefix));
         unread_ends_.erase(id);
         ended(id, kv::decode_terminal_record(row.value).phase);
--- a/src/state/dependency_graph.hpp
+++ b/src/state/dependency_graph.hpp
@@ -38,7 +38,7 @@
 
   private:
     void read_ends();
-    void take_ends(const kv::RowsResult& rows);
+    void take_ends(const kv::MultiGetResult& rows);
     void propagate_priority(const Job& from);
     Job* find(const JobId& id);
     // Runs it after the delay, if the graph has not been cleared meanwhile.
--- a/src/state/record_codec.cpp
+++ b/src/state/record_codec.cpp
@@ -142,7 +142,7 @@
     return {writer.take(), writer.json_size()};
 }
 
-ProgressRecord decode_progress(const kv::Row& row, std::uint64_t newest_format) {
+ProgressRecord decode_progress(const kv::Entry& row, std::uint64_t newest_format) {
     const auto& value = row.value;
     ProgressRecord record;
     record.job = job_of_progress_key(row.key);
--- a/src/state/record_codec.hpp
+++ b/src/state/record_codec.hpp
@@ -51,7 +51,7 @@
 /// The progress of the tasks in the range, in the format that the range's key is of.
 kv::PackedRecord encode_progress(const Job& job, const TaskRange& range);
 /// Reads formats up to `newest_format`. Throws wire::DecodeError.
-ProgressRecord decode_progress(const kv::Row& row, std::uint64_t newest_format);
+ProgressRecord decode_progress(const kv::Entry& row, std::uint64_t newest_format);
 
 kv::PackedRecord encode_scale_out(const ScaleOutRecord& scale_out);
 /// Throws wire::DecodeError.
--- a/src/state/record_reading.cpp
+++ b/src/state/record_reading.cpp
@@ -20,7 +20,7 @@
     election.resign(kResignFor);
 }
 
-void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Row& row) {
+void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Entry& row) {
     const auto part = kv::decode_dependency_part(row.value);
     ++job.parts_read;
     cluster_state.stored().set(row.key, row.rev);
--- a/src/state/record_reading.hpp
+++ b/src/state/record_reading.hpp
@@ -21,10 +21,10 @@
     std::string reason;
 };
 
-/// Calls `apply(const kv::Row&)` for each row. Stops at the first for which that throws
+/// Calls `apply(const kv::Entry&)` for each row. Stops at the first for which that throws
 /// wire::DecodeError, and returns it; the rows before it have been applied.
 template <class Apply>
-std::optional<InvalidRecord> apply_rows(const std::vector<kv::Row>& rows, Apply apply) {
+std::optional<InvalidRecord> apply_rows(const std::vector<kv::Entry>& rows, Apply apply) {
     for (const auto& row : rows) {
         try {
             apply(row);
@@ -44,6 +44,6 @@
 
 /// Adds to the job the dependencies that the row of a dependency record names. Throws
 /// wire::DecodeError.
-void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Row& row);
+void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Entry& row);
 
 }  // namespace dunebridge::state
--- a/src/state/retried_transaction.cpp
+++ b/src/state/retried_transaction.cpp
@@ -8,7 +8,7 @@
 
 namespace dunebridge::state {
 
-using kv::Outcome;
+using kv::TransactionOutcome;
 using kv::TransactionResult;
 
 namespace {
@@ -26,10 +26,10 @@
 
 // A terminal record that is not the one this transaction creates: a user's cancellation came first.
 bool is_written_by_a_user(const wire::Write& write, const kv::GetResult& result) {
-    if (!is_terminal_record(write) || !write.value || !result.row) return false;
+    if (!is_terminal_record(write) || !write.value || !result.entry) return false;
     const auto own = wire::Document::parse(*write.value);
-    return !own ||
-           kv::decode_terminal_record(own->root()) != kv::decode_terminal_record(result.row->value);
+    return !own || kv::decode_terminal_record(own->root()) !=
+                       kv::decode_terminal_record(result.entry->value);
 }
 
 // How well a record shows whether the transaction was applied; the higher the better.
@@ -69,9 +69,9 @@
 void RetriedTransaction::send_attempt() {
     const auto timeout = attempts_ == 0 ? kFirstTimeout : kTimeout;
     ++attempts_;
-    kv_client_.transact(preconditions_, writes_, timeout,
-                        unless_superseded<TransactionResult>(
-                            [this](const auto& result) { handle_response(result); }));
+    kv_client_.compare_and_swap(preconditions_, writes_, timeout,
+                                unless_superseded<TransactionResult>(
+                                    [this](const auto& result) { handle_response(result); }));
 }
 
 void RetriedTransaction::retry_after_backoff() {
@@ -94,16 +94,16 @@
 }
 
 void RetriedTransaction::handle_response(const TransactionResult& result) {
-    if (result.outcome == Outcome::unknown) {
+    if (result.outcome == TransactionOutcome::unknown) {
         has_unanswered_attempt_ = true;
         context_.log(sansio::LogLevel::info, "event=transaction_retried attempts={}", attempts_);
         retry_or_give_up();
-    } else if (!has_unanswered_attempt_ || result.outcome == Outcome::ok) {
+    } else if (!has_unanswered_attempt_ || result.outcome == TransactionOutcome::ok) {
         finish(result);
-    } else if (result.outcome == Outcome::refused) {
+    } else if (result.outcome == TransactionOutcome::refused) {
         // This attempt was not executed; an earlier one may yet be.
         retry_or_give_up();
-    } else if (result.outcome == Outcome::conflict) {
+    } else if (result.outcome == TransactionOutcome::conflict) {
         resolve_conflict(result);
     } else {
         // It cannot be sent again as it is, and may have been applied before: only a new term
@@ -150,14 +150,14 @@
 void RetriedTransaction::resolve_by_reading_back(const wire::Write& write,
                                                  const TransactionResult& conflict) {
     const auto resolve = [this, &write, conflict](const kv::GetResult& result) {
-        if (!result.answered) {
+        if (!result.available) {
             context_.after(kRetryBackoff, unless_superseded([this, &write, conflict] {
                                resolve_by_reading_back(write, conflict);
                            }));
             return;
         }
         const auto& precondition = *precondition_for(write);
-        const auto revision = result.row ? result.row->rev : KeyRevision();
+        const auto revision = result.entry ? result.entry->rev : KeyRevision();
         if (revision == precondition.rev || is_written_by_a_user(write, result)) {
             finish(conflict);
         } else {
@@ -172,9 +172,9 @@
 void RetriedTransaction::confirm_applied(const wire::Precondition& precondition,
                                          KeyRevision current_revision) {
     const auto handle = [this, precondition, current_revision](const TransactionResult& result) {
-        if (result.outcome == Outcome::ok) {
-            finish({Outcome::ok, current_revision, {}});
-        } else if (result.outcome == Outcome::conflict) {
+        if (result.outcome == TransactionOutcome::ok) {
+            finish({TransactionOutcome::ok, current_revision, {}});
+        } else if (result.outcome == TransactionOutcome::conflict) {
             finish_with_unknown_outcome();
         } else {
             context_.after(kRetryBackoff, unless_superseded([this, precondition, current_revision] {
@@ -182,8 +182,8 @@
                            }));
         }
     };
-    kv_client_.transact({preconditions_.front(), {precondition.key, current_revision}}, {},
-                        kTimeout, unless_superseded<TransactionResult>(handle));
+    kv_client_.compare_and_swap({preconditions_.front(), {precondition.key, current_revision}}, {},
+                                kTimeout, unless_superseded<TransactionResult>(handle));
 }
 
 void RetriedTransaction::finish(const TransactionResult& result) {
@@ -194,7 +194,7 @@
 
 void RetriedTransaction::finish_with_unknown_outcome() {
     TransactionResult unknown;
-    unknown.outcome = Outcome::unknown;
+    unknown.outcome = TransactionOutcome::unknown;
     finish(unknown);
 }
 
--- a/src/state/retried_transaction.hpp
+++ b/src/state/retried_transaction.hpp
@@ -25,8 +25,8 @@
 class RetriedTransaction {
   public:
     /// Called once with the outcome, unless abandon() or another send() comes first. The outcome is
-    /// kv::Outcome::unknown only if nothing but a new term can keep an unanswered attempt from
-    /// being applied.
+    /// kv::TransactionOutcome::unknown only if nothing but a new term can keep an unanswered
+    /// attempt from being applied.
     using OutcomeCallback = std::function<void(const kv::TransactionResult&)>;
 
     /// The retries are charged to `write_budget`; the caller charges it for the first attempt. All
