--- /dev/null
+++ b/src/provisioning/load_average.cpp
@@ -0,0 +1,22 @@
+#include "provisioning/load_average.hpp"
+
+#include <cmath>
+
+namespace dunebridge::provisioning {
+
+namespace {
+constexpr double kTimeConstant_s = 45;
+}  // namespace
+
+void LoadAverage::observe() {
+    double cores = 0;
+    for (const auto& [host, machine] : state_.machines()) cores += machine.used.cores;
+    const auto now = context_.now();
+    const bool first = last_observation_ == Instant{};
+    const double elapsed_s = first ? 0 : to_seconds(now - last_observation_);
+    last_observation_ = now;
+    const double kept_share = elapsed_s > 0 ? std::exp(-elapsed_s / kTimeConstant_s) : 0.0;
+    cores_ = cores_ * kept_share + cores * (1 - kept_share);
+}
+
+}  // namespace dunebridge::provisioning
--- a/src/provisioning/provisioner.hpp
+++ b/src/provisioning/provisioner.hpp
@@ -1,15 +1,13 @@
-// Keeps the fleet as large as the work needs: rents machines, follows the cloud's list of them, and
-// returns those that are idle or lost.
+/// \file
+/// Keeps the fleet as large as the work needs.
 #pragma once
 
-#include <map>
-#include <string>
-#include <vector>
-
 #include "config/config.hpp"
 #include "coordination/election.hpp"
 #include "provisioning/boot_monitor.hpp"
 #include "provisioning/cloud_client.hpp"
+#include "provisioning/demand_collector.hpp"
+#include "provisioning/load_average.hpp"
 #include "provisioning/machine_inventory.hpp"
 #include "provisioning/machine_type_fetcher.hpp"
 #include "provisioning/scale_in.hpp"
@@ -24,50 +22,50 @@
 
 namespace dunebridge::provisioning {
 
+/// Runs everything that concerns the cloud: requests machines, follows the cloud's list of them,
+/// and releases those that are idle or lost. The references must outlive it.
 class Provisioner {
   public:
-    Provisioner(sansio::Context& port, coordination::Election& election,
+    Provisioner(sansio::Context& context, coordination::Election& election,
                 state::ClusterState& cluster_state, const state::WorkerLiveness& liveness,
                 state::ReleasedMachines& released_machines,
                 state::MachineTypeCatalog& machine_types,
                 const state::RunTimeEstimator& run_time_estimator, const config::Config& config);
 
-    // On every node.
+    /// Keeps the machine types up to date. To be called on every node in every pass of the event
+    /// loop.
     void tick_machine_types() { machine_type_fetcher_.tick(election_.is_leader()); }
-    // On the leader, once its ledger is loaded.
+    /// Does what is due. To be called on the leader in every pass, once the cluster state is
+    /// loaded.
     void tick();
-    // Another term begins.
+    /// Another term begins. Learnt boot times are kept; for some time no idle machine is released.
     void reset();
 
   private:
-    void resize();
-    void observe_load();
-    ScalingInput sizing_input();
+    void resize_fleet();
+    ScalingInput scaling_input();
     MachineCapacity capacity_of(const state::Machine& machine) const;
-    std::vector<Demand> demand() const;
-    Demand demand_of(const state::Job& job) const;
-    bool fits_some_machine(const Demand& demand) const;
     void warn_if_too_large(const ScalingInput& input);
-    void log_sizing(const ScalingInput& input, const ScalingPlan& plan) const;
+    void log_plan(const ScalingInput& input, const ScalingPlan& plan) const;
+    void carry_out(const ScalingPlan& plan);
 
     sansio::Context& context_;
     coordination::Election& election_;
     state::ClusterState& state_;
     const state::WorkerLiveness& liveness_;
-    const state::MachineTypeCatalog& types_;
-    const state::RunTimeEstimator& run_time_estimator_;
+    const state::MachineTypeCatalog& machine_types_;
     const config::Config& config_;
     CloudClient cloud_;
     MachineTypeFetcher machine_type_fetcher_;
     BootMonitor boot_monitor_;
+    DemandCollector demand_;
+    LoadAverage load_;
     ScaleIn scale_in_;
-    MachineInventory list_;
-    ScaleOut scale_outs_;
+    MachineInventory inventory_;
+    ScaleOut scale_out_;
     Instant next_resize_{};
-    Instant no_return_before_{};
-    Instant last_load_{};
+    Instant no_idle_release_before_{};
     Instant next_warning_{};
-    double load_cores_ = 0;  // lately observed average of cores in use
 };
 
 }  // namespace dunebridge::provisioning
