--- /dev/null
+++ b/src/scheduler/availability_estimator.cpp
@@ -0,0 +1,21 @@
+#include "scheduler/availability_estimator.hpp"
+
+#include <algorithm>
+
+namespace dunebridge::scheduler {
+
+double AvailabilityEstimator::earliest_available_s(const state::Machine& machine) const {
+    const auto slack_s = to_seconds(config_.tuning.slack);
+    double earliest_s = 0;
+    for (const auto& [key, placement] : machine.tasks) {
+        const double ran_s = (placement.running_since != Instant{})
+                                 ? to_seconds(context_.now() - placement.running_since)
+                                 : 0;
+        const double expected_s = run_time_estimator_.expected_s(*placement.job);
+        const double left_s = std::max(0.0, expected_s - ran_s) + slack_s;
+        earliest_s = earliest_s == 0 ? left_s : std::min(earliest_s, left_s);
+    }
+    return earliest_s;
+}
+
+}  // namespace dunebridge::scheduler
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <string_view>
+#include <tuple>
 #include <unordered_set>
 
 namespace dunebridge::scheduler {
@@ -10,25 +11,33 @@
 using state::JobState;
 
 namespace {
-constexpr double kNoDeadline_s = 3600;
-constexpr double kFetchGuess_gb_per_s = 0.5;
+// A job without an objective is due so long after it may start, and may wait so long.
+constexpr double kDefaultObjective_s = 3600;
+// Assumed rate at which a machine fetches an image.
+constexpr double kImageFetchRate_gb_per_s = 0.5;
 // For a preempted task to stop and its machine to report it.
-constexpr double kStop_s = 1.5;
-// A job that has waited so long without a task begun is given its first one before all others.
-constexpr Millis kAged{90000};
+constexpr double kPreemptionDelay_s = 1.5;
+// A job that has waited so long without a first task gets it before all others.
+constexpr Millis kStarvationLimit{90000};
+
+void lower(std::optional<double>& least_s, double within_s) {
+    least_s = std::min(least_s.value_or(within_s), within_s);
+}
 }  // namespace
 
-PendingQueue::PendingQueue(sansio::Context& port, state::ClusterState& cluster_state,
-                           const state::RunTimeEstimator& run_times, const config::Config& config)
-    : context_(port), state_(cluster_state), run_time_estimator_(run_times), config_(config) {
-    const auto lower = [](std::optional<double>& least_s, double within_s) {
-        least_s = std::min(least_s.value_or(within_s), within_s);
-    };
+PendingQueue::PendingQueue(sansio::Context& context, state::ClusterState& cluster_state,
+                           const state::RunTimeEstimator& run_time_estimator,
+                           const config::Config& config)
+    : context_(context),
+      state_(cluster_state),
+      run_time_estimator_(run_time_estimator),
+      config_(config) {
     for (const auto& objective : config_.objectives) {
         const auto within_s = objective.within_s;
         if (within_s <= 0) continue;
-        if (objective.kind == "wait") lower(aims_[objective.job_class].wait_s, within_s);
-        if (objective.kind == "finished") lower(aims_[objective.job_class].finished_s, within_s);
+        auto& of_class = objective.job_class;
+        if (objective.kind == "wait") lower(objectives_[of_class].wait_s, within_s);
+        if (objective.kind == "finished") lower(objectives_[of_class].finished_s, within_s);
         if (objective.kind == "guarantee") lower(guarantee_s_, within_s);
     }
 }
@@ -38,89 +47,106 @@
 }
 
 std::vector<PendingJob> PendingQueue::jobs() {
-    std::vector<PendingJob> out;
+    auto pending = collect();
+    if (pending.empty()) return pending;
+    mark_within_guarantee(pending);
+    for (auto& entry : pending) entry.rank = rank_of(entry);
+    std::sort(pending.begin(), pending.end(),
+              [](const PendingJob& a, const PendingJob& b) { return a.rank < b.rank; });
+    return pending;
+}
+
+// The jobs with tasks that may be placed now, in no particular order.
+std::vector<PendingJob> PendingQueue::collect() {
+    std::vector<PendingJob> pending;
     for (auto& [id, job] : state_.jobs()) {
         if (job.state != JobState::active || job.waiting.empty() || job.is_blocked()) continue;
         if (context_.now() < job.backoff_until) {
             context_.request_wake(job.backoff_until);
             continue;
         }
-        const bool aged = !job.has_started() && !job.failures.faulty &&
-                          context_.now() - job.runnable_since > kAged;
-        out.push_back({&job, false, aged, due(job), {}});
+        const auto waited = context_.now() - job.runnable_since;
+        // A job that fails everywhere must not get ahead of the others by failing.
+        const bool starving =
+            !job.has_started() && !job.failures.faulty && waited > kStarvationLimit;
+        pending.push_back({&job, false, starving, due(job), {}});
     }
-    if (out.empty()) return out;
-    mark_guaranteed(out);
-    for (auto& waiting : out) {
-        const auto& job = *waiting.job;
-        const int group = waiting.aged ? 0 : is_high_priority(job) || waiting.guaranteed ? 1 : 2;
-        waiting.rank = {group, -static_cast<int>(job.priority), waiting.due, job.sequence};
+    return pending;
+}
+
+QueueRank PendingQueue::rank_of(const PendingJob& pending) const {
+    const auto& job = *pending.job;
+    auto group = QueueGroup::best_effort;
+    if (pending.starving) {
+        group = QueueGroup::starving;
+    } else if (is_high_priority(job) || pending.within_guarantee) {
+        group = QueueGroup::preferred;
     }
-    std::sort(out.begin(), out.end(),
-              [](const PendingJob& a, const PendingJob& b) { return a.rank < b.rank; });
-    return out;
+    const int priority = static_cast<int>(job.priority);
+    return {group, -priority, pending.due, job.sequence};
 }
 
-// The jobs that may start, in the order in which they might.
-std::vector<const Job*> PendingQueue::open_jobs() const {
-    std::vector<const Job*> open;
+// The unfinished jobs that may start, in the order in which they became runnable.
+std::vector<const Job*> PendingQueue::unblocked_jobs() const {
+    std::vector<const Job*> jobs;
     for (const auto& [id, job] : state_.jobs()) {
-        if (job.state == JobState::active && !job.is_blocked()) open.push_back(&job);
+        if (job.state == JobState::active && !job.is_blocked()) jobs.push_back(&job);
     }
-    std::sort(open.begin(), open.end(), [](const Job* a, const Job* b) {
+    std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
         return std::tie(a->runnable_since, a->sequence) < std::tie(b->runnable_since, b->sequence);
     });
-    return open;
+    return jobs;
 }
 
-// A job is within its team's guarantee if it fits into it together with the team's earlier
-// unfinished jobs.
-void PendingQueue::mark_guaranteed(std::vector<PendingJob>& waiting) const {
-    const bool any = std::any_of(config_.teams.begin(), config_.teams.end(),
-                                 [](const auto& team) { return team.cpus > 0 || team.gpus > 0; });
-    if (!any) return;
-    struct TeamSum {
+void PendingQueue::mark_within_guarantee(std::vector<PendingJob>& pending) const {
+    const bool any_guarantee =
+        std::any_of(config_.teams.begin(), config_.teams.end(),
+                    [](const auto& team) { return team.cpus > 0 || team.gpus > 0; });
+    if (!any_guarantee) return;
+    struct TeamDemand {
         const config::Team* team = nullptr;
         state::TeamUsage wanted;
     };
-    std::map<std::string_view, TeamSum> sums;
-    for (const auto& team : config_.teams) sums[team.name].team = &team;
-    std::unordered_set<const Job*> within;
-    for (const auto* job : open_jobs()) {
-        const auto it = sums.find(job->spec.team);
-        if (it == sums.end()) continue;
+    std::map<std::string_view, TeamDemand> demands;
+    for (const auto& team : config_.teams) demands[team.name].team = &team;
+    std::unordered_set<const Job*> within_guarantee;
+    for (const auto* job : unblocked_jobs()) {
+        const auto it = demands.find(job->spec.team);
+        if (it == demands.end()) continue;
         auto& [team, wanted] = it->second;
         const double tasks = job->spec.task_count - job->done;
         wanted.cpus += tasks * job->spec.cores;
         wanted.gpus += tasks * job->spec.accelerators;
-        if (wanted.cpus <= team->cpus && wanted.gpus <= team->gpus) within.insert(job);
+        if (wanted.cpus <= team->cpus && wanted.gpus <= team->gpus) within_guarantee.insert(job);
     }
-    for (auto& entry : waiting) entry.guaranteed = within.contains(entry.job);
+    for (auto& entry : pending) entry.within_guarantee = within_guarantee.contains(entry.job);
 }
 
-const PendingQueue::ClassAims& PendingQueue::aims(const Job& job) const {
-    static const ClassAims none;
-    const auto it = aims_.find(job.spec.job_class);
-    return it == aims_.end() ? none : it->second;
+const PendingQueue::ClassObjectives& PendingQueue::objectives_of(const Job& job) const {
+    static const ClassObjectives none;
+    const auto it = objectives_.find(job.spec.job_class);
+    return it == objectives_.end() ? none : it->second;
 }
 
 Instant PendingQueue::due(const Job& job) const {
-    const double within_s = std::min(kNoDeadline_s, aims(job).finished_s.value_or(kNoDeadline_s));
+    const double within_s =
+        std::min(kDefaultObjective_s, objectives_of(job).finished_s.value_or(kDefaultObjective_s));
     return std::min(job.runnable_since + from_seconds(within_s), job.latest_end);
 }
 
-Instant PendingQueue::latest_start(const PendingJob& waiting) const {
-    const auto& job = *waiting.job;
-    double within_s = std::min(kNoDeadline_s, aims(job).wait_s.value_or(kNoDeadline_s));
-    if (waiting.guaranteed) within_s = std::min(within_s, guarantee_s_.value_or(within_s));
-    // A start counts once the image is there; and the users' estimates are often wrong by half.
-    const double fetch_s = job.spec.image_gb / kFetchGuess_gb_per_s;
+Instant PendingQueue::latest_start(const PendingJob& pending) const {
+    const auto& job = *pending.job;
+    double within_s =
+        std::min(kDefaultObjective_s, objectives_of(job).wait_s.value_or(kDefaultObjective_s));
+    if (pending.within_guarantee) within_s = std::min(within_s, guarantee_s_.value_or(within_s));
+    // A start counts once the image is there, and users' estimates are often wrong by half.
+    const double fetch_s = job.spec.image_gb / kImageFetchRate_gb_per_s;
     const double run_s = std::max(run_time_estimator_.expected_s(job), job.spec.expected_s) *
                          state::kRunTimeUncertainty;
-    const auto wait_s = std::max(0.0, within_s - fetch_s - kStop_s);
+    const auto wait_s = std::max(0.0, within_s - fetch_s - kPreemptionDelay_s);
     const auto latest = job.runnable_since + from_seconds(wait_s);
     if (job.latest_end == Instant::max()) return latest;
-    return std::min(latest, due(job) - from_seconds(run_s + fetch_s + kStop_s));
+    return std::min(latest, due(job) - from_seconds(run_s + fetch_s + kPreemptionDelay_s));
 }
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -1,70 +1,60 @@
-// The paper's rule (MBFCBS) over all machines, as adapted in docs/design.md: best fit to the
-// fullest machine; a high-priority task that fits nowhere stops the first fitting best-effort
-// task; best effort never preempts; waiting tasks are held, not bound.
+/// \file
+/// The scheduler: places pending tasks on machines, and preempts others where that is needed.
+///
+/// It applies the paper's rule (MBFCBS) to all machines, as adapted in docs/design.md: best fit to
+/// the fullest machine; a high-priority task that fits nowhere stops the first fitting best-effort
+/// task; best effort never preempts; pending tasks are held, not bound to a machine.
 #pragma once
 
-#include <map>
-#include <optional>
-#include <set>
-#include <string>
-#include <tuple>
+#include <cstddef>
 #include <vector>
 
 #include "config/config.hpp"
 #include "sansio/context.hpp"
-#include "scheduler/bin_packing.hpp"
+#include "scheduler/availability_estimator.hpp"
+#include "scheduler/best_fit_placement.hpp"
+#include "scheduler/capacity_table.hpp"
+#include "scheduler/machine_reservations.hpp"
 #include "scheduler/pending_queue.hpp"
+#include "scheduler/preemption.hpp"
 #include "state/cluster_state.hpp"
 #include "state/run_time_estimator.hpp"
 #include "state/worker_liveness.hpp"
 
 namespace dunebridge::scheduler {
 
+/// Decides which pending task gets which machine. Runs on the leader only, once its cluster state
+/// is loaded.
+///
+/// It changes the cluster state alone. A placement is recorded in the key-value store before a
+/// worker hears of it, which is not the scheduler's business. The objects given to the constructor
+/// must outlive it.
 class Scheduler {
   public:
-    Scheduler(sansio::Context& port, state::ClusterState& cluster_state,
-              const state::WorkerLiveness& liveness, const state::RunTimeEstimator& run_times,
-              const config::Config& config);
+    Scheduler(sansio::Context& context, state::ClusterState& cluster_state,
+              const state::WorkerLiveness& liveness,
+              const state::RunTimeEstimator& run_time_estimator, const config::Config& config);
 
-    // One pass: places what waits, and stops what must make room. Returns how many jobs waited.
+    /// One scheduling pass: places pending tasks, and stops tasks that must make room. Returns how
+    /// many jobs had tasks that could be placed at its beginning.
     std::size_t run();
 
   private:
-    // What a job asks of a machine: jobs of like tasks that fit nowhere are decided as a class.
-    using TaskShape = std::tuple<double, double, double, bool, std::optional<std::string>,
-                                 std::optional<std::vector<std::string>>>;
-
-    TaskShape shape_of(const state::Job& job) const;
-    void collect_capacities(const std::vector<PendingJob>& waiting);
-    void add_capacity(state::Machine& machine);
-    double earliest_s(const state::Machine& machine) const;
-    std::size_t quota_left(const state::Job& job) const;
-    bool allowed(const state::Job& job, const state::Machine& machine) const;
-    void place(const PendingJob& waiting);
-    void begin(const PendingJob& waiting);
-    void reserve_machine(const state::Job& job);
-    std::size_t fill(state::Job& job, std::size_t most);
-    void preempt_for(const state::Job& job, std::size_t tasks);
-    void find_victims();
+    void build_capacity_table(const std::vector<PendingJob>& pending);
+    void release_reservations(const std::vector<PendingJob>& pending);
+    std::size_t tasks_within_quota(const state::Job& job);
+    void place_tasks(const PendingJob& pending);
+    void place_first_task(const PendingJob& pending);
 
     sansio::Context& context_;
     state::ClusterState& state_;
-    const state::WorkerLiveness& liveness_;
-    const state::RunTimeEstimator& run_time_estimator_;
     const config::Config& config_;
     PendingQueue pending_queue_;
-
-    // Of the pass under way.
-    std::vector<state::Machine*> machines_;
-    std::vector<FreeCapacity> capacities_;
-    std::vector<state::Machine*> full_machines_;  // without room for any waiting task
-    std::set<TaskShape> nowhere_;                 // fit no machine now
-    std::set<TaskShape> exhausted_;               // nor does stopping others help them
-    struct Victim {
-        state::Placement* placement;
-        std::size_t room;
-    };
-    std::optional<std::vector<Victim>> victims_;
+    AvailabilityEstimator availability_;
+    MachineReservations reservations_;
+    CapacityTable capacities_;
+    BestFitPlacement best_fit_;
+    Preemption preemption_;
 };
 
 }  // namespace dunebridge::scheduler
