--- a/src/workers/command_dispatcher.hpp
+++ b/src/workers/command_dispatcher.hpp
@@ -1,8 +1,5 @@
-// Decides which orders a worker gets, and sends them as direct commands where check-ins would be
-// too late.
-//
-// A direct command without an answer may be executed minutes later. A higher token, which the
-// worker has seen, shuts it out.
+/// \file
+/// Sends direct commands to workers where the reply to the next heartbeat would be too late.
 #pragma once
 
 #include <cstddef>
@@ -13,42 +10,36 @@
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
 #include "state/model.hpp"
-#include "wire/messages.hpp"
+#include "wire/worker_messages.hpp"
+#include "workers/command_builder.hpp"
 #include "workers/heartbeat_processor.hpp"
 #include "workers/worker_client.hpp"
-#include "workers/worker_conditions.hpp"
 
 namespace dunebridge::workers {
 
+/// Delivers commands: in replies to heartbeats, and in direct commands of which one at a time is in
+/// flight to each machine, and as many in all as the sockets allow.
 class CommandDispatcher {
   public:
     CommandDispatcher(sansio::Context& context, coordination::Election& election,
                       state::ClusterState& cluster_state, const config::Config& config,
-                      HeartbeatProcessor& heartbeats);
+                      HeartbeatProcessor& heartbeat_processor);
 
-    // Sends to machines for which commands have been requested.
+    /// Sends direct commands to the machines for which commands have been requested.
     void tick();
-    // What the worker is to do now; what is started counts as sent.
-    std::vector<wire::TaskCommand> commands(state::Machine& machine, ExchangeKind exchange);
-    // Work that an unresponsive machine certainly has not got goes elsewhere.
-    void remove_unsent_placements(state::Machine& machine);
+    /// The commands for the reply to the worker's heartbeat. Tasks that they start count as sent.
+    std::vector<wire::TaskCommand> commands_for_reply(state::Machine& machine) const;
 
   private:
-    bool append_clear_commands(const state::Machine& machine,
-                               std::vector<wire::TaskCommand>& commands) const;
-    static void append_stop_command(const state::Placement& placement,
-                                    std::vector<wire::TaskCommand>& commands);
-    static bool replaces_exited_attempt(const state::Machine& machine,
-                                        const state::Placement& placement);
-    void remove_unsent_cancelled(state::Machine& machine);
-    void remove_placements_if(state::Machine& machine, bool (*condition)(const state::Placement&));
+    void dispatch(state::Machine& machine);
     void send(state::Machine& machine);
-    void handle_command_result(const MachineName& host, const CommandResult& result);
+    void handle_result(const MachineName& host, const CommandResult& result);
 
     sansio::Context& context_;
     coordination::Election& election_;
     state::ClusterState& state_;
     HeartbeatProcessor& heartbeat_processor_;
+    CommandBuilder command_builder_;
     WorkerClient client_;
     std::size_t in_flight_ = 0;
     std::size_t max_in_flight_;
--- a/src/workers/failure_attribution.cpp
+++ b/src/workers/failure_attribution.cpp
@@ -10,27 +10,28 @@
 
 namespace {
 // Between a job's failures and its next start.
-constexpr Millis kLeastPause{1000};
-constexpr Millis kMaxPause{30000};
-constexpr int kJitterPart = 4;  // of the pause, at most, so that faulty jobs do not return together
+constexpr Millis kMinBackoff{1000};
+constexpr Millis kMaxBackoff{30000};
+constexpr int kJitterDivisor =
+    4;  // of the pause, at most, so that faulty jobs do not return together
 // What a job that failed on a machine weighs against the machine: a job that has succeeded
 // elsewhere weighs more, and each of its first failures.
-constexpr std::uint32_t kUnprovenJob = 1;
-constexpr std::uint32_t kProvenJob = 2;
-constexpr std::uint32_t kFailuresThatCount = 2;
-constexpr std::uint32_t kEvidenceToBlameMachine = 3;
+constexpr std::uint32_t kUnprovenJobWeight = 1;
+constexpr std::uint32_t kProvenJobWeight = 2;
+constexpr std::uint32_t kMaxCountedFailures = 2;
+constexpr std::uint32_t kEvidenceToCordon = 3;
 // A job is at fault after failing on so many machines that nothing else tells against, or, where
 // nothing has ever succeeded, on so many of any kind.
-constexpr std::size_t kMachinesToBlameJob = 3;
-constexpr std::size_t kMachinesWithoutDoubt = 9;
+constexpr std::size_t kUndoubtedMachinesToBlameJob = 3;
+constexpr std::size_t kAnyMachinesToBlameJob = 9;
 }  // namespace
 
-void FailureAttribution::succeeded(Job& job, Machine& machine) {
+void FailureAttribution::record_success(Job& job, Machine& machine) {
     machine.worker.failures.clear();
-    clear_job(job);
+    clear_evidence_against_job(job);
 }
 
-void FailureAttribution::clear_job(Job& job) {
+void FailureAttribution::clear_evidence_against_job(Job& job) {
     if (job.failures.faulty) {
         context_.log(LogLevel::info, "event=job_recovered id={}", job.spec.id.get());
         job.backoff_until = context_.now();
@@ -39,23 +40,23 @@
     job.pause = Millis(0);
 }
 
-void FailureAttribution::failed(Job& job, Machine& machine) {
-    pause(job);
+void FailureAttribution::record_failure(Job& job, Machine& machine) {
+    start_backoff(job);
     if (job.failures.faulty) return;
     job.failures.machines.insert(machine.host);
     ++machine.worker.failures[job.spec.id];
     if (failed_everywhere(job)) {
-        blame_job(job);
-    } else if (!machine.cordoned && evidence_against(machine) >= kEvidenceToBlameMachine) {
-        blame_machine(machine);
+        mark_job_faulty(job);
+    } else if (!machine.cordoned && evidence_against(machine) >= kEvidenceToCordon) {
+        cordon(machine);
     }
 }
 
 // Failures that come while the job pauses are of tasks started before: they do not count again.
-void FailureAttribution::pause(Job& job) {
+void FailureAttribution::start_backoff(Job& job) {
     if (context_.now() < job.backoff_until) return;
-    job.pause = std::clamp(job.pause * 2, kLeastPause, kMaxPause);
-    job.backoff_until = context_.now() + job.pause + context_.jitter(job.pause / kJitterPart);
+    job.pause = std::clamp(job.pause * 2, kMinBackoff, kMaxBackoff);
+    job.backoff_until = context_.now() + job.pause + context_.jitter(job.pause / kJitterDivisor);
 }
 
 std::uint32_t FailureAttribution::evidence_against(const Machine& machine) const {
@@ -63,7 +64,8 @@
     for (const auto& [id, failures] : machine.worker.failures) {
         const auto* job = state_.find_job(id);
         const bool proven = job && job->done > 0;
-        evidence += proven ? kProvenJob * std::min(failures, kFailuresThatCount) : kUnprovenJob;
+        evidence += proven ? kProvenJobWeight * std::min(failures, kMaxCountedFailures)
+                           : kUnprovenJobWeight;
     }
     return evidence;
 }
@@ -76,21 +78,21 @@
         const auto& failures = machine->worker.failures;
         return failures.empty() || (failures.size() == 1 && failures.contains(job.spec.id));
     });
-    return static_cast<std::size_t>(undoubted) >= kMachinesToBlameJob ||
-           (job.done == 0 && machines.size() >= kMachinesWithoutDoubt);
+    return static_cast<std::size_t>(undoubted) >= kUndoubtedMachinesToBlameJob ||
+           (job.done == 0 && machines.size() >= kAnyMachinesToBlameJob);
 }
 
-void FailureAttribution::blame_job(Job& job) {
+void FailureAttribution::mark_job_faulty(Job& job) {
     context_.log(LogLevel::info, "event=job_faulty id={} machines={}", job.spec.id.get(),
                  job.failures.machines.size());
     job.failures.faulty = true;
     job.failures.machines.clear();
     for (auto& [host, machine] : state_.machines()) {
-        if (machine.worker.failures.erase(job.spec.id) > 0) withdraw_blame(machine);
+        if (machine.worker.failures.erase(job.spec.id) > 0) uncordon_if_cleared(machine);
     }
 }
 
-void FailureAttribution::blame_machine(Machine& machine) {
+void FailureAttribution::cordon(Machine& machine) {
     machine.cordoned = true;
     context_.log(LogLevel::info, "event=machine_faulty host={}", machine.host.get());
     for (const auto& [id, failures] : machine.worker.failures) {
@@ -98,8 +100,8 @@
     }
 }
 
-void FailureAttribution::withdraw_blame(Machine& machine) {
-    if (!machine.cordoned || evidence_against(machine) >= kEvidenceToBlameMachine) return;
+void FailureAttribution::uncordon_if_cleared(Machine& machine) {
+    if (!machine.cordoned || evidence_against(machine) >= kEvidenceToCordon) return;
     machine.cordoned = false;
     context_.log(LogLevel::info, "event=machine_cleared host={}", machine.host.get());
 }
--- a/src/workers/failure_attribution.hpp
+++ b/src/workers/failure_attribution.hpp
@@ -21,18 +21,18 @@
     FailureAttribution(sansio::Context& context, state::ClusterState& cluster_state)
         : context_(context), state_(cluster_state) {}
 
-    void succeeded(state::Job& job, state::Machine& machine);
-    void failed(state::Job& job, state::Machine& machine);
+    void record_success(state::Job& job, state::Machine& machine);
+    void record_failure(state::Job& job, state::Machine& machine);
     // Starts the job again after a pause only, which grows from one time to the next.
-    void pause(state::Job& job);
+    void start_backoff(state::Job& job);
 
   private:
-    void clear_job(state::Job& job);
+    void clear_evidence_against_job(state::Job& job);
     std::uint32_t evidence_against(const state::Machine& machine) const;
     bool failed_everywhere(const state::Job& job) const;
-    void blame_job(state::Job& job);
-    void blame_machine(state::Machine& machine);
-    void withdraw_blame(state::Machine& machine);
+    void mark_job_faulty(state::Job& job);
+    void cordon(state::Machine& machine);
+    void uncordon_if_cleared(state::Machine& machine);
 
     sansio::Context& context_;
     state::ClusterState& state_;
--- /dev/null
+++ b/src/workers/placement_conditions.hpp
@@ -0,0 +1,39 @@
+/// \file
+/// Conditions on placements, and the removal of those that meet one.
+#pragma once
+
+#include <vector>
+
+#include "state/cluster_state.hpp"
+#include "state/model.hpp"
+
+namespace dunebridge::workers {
+
+/// Returns true if the placement's task must not run any more: it is being stopped, it is done, or
+/// its job is over.
+inline bool must_stop(const state::Placement& placement) {
+    const auto& job = *placement.job;
+    return placement.stopping || job.state == state::JobState::terminal ||
+           job.tasks[placement.index].done;
+}
+
+/// Returns true if the placement is on record, but its task certainly is not on the worker: no
+/// command that starts it has left this leader, and the worker has not shown it.
+inline bool is_never_sent(const state::Placement& placement) {
+    return placement.committed && placement.sent == state::StartDelivery::not_sent &&
+           !placement.seen;
+}
+
+/// Removes the machine's placements that meet the condition. The caller must have proof that their
+/// tasks are not on the worker.
+template <class Condition>
+void remove_placements_if(state::ClusterState& cluster_state, state::Machine& machine,
+                          Condition condition) {
+    std::vector<state::PlacementKey> keys;
+    for (const auto& [key, placement] : machine.tasks) {
+        if (condition(placement)) keys.push_back(key);
+    }
+    for (const auto& key : keys) cluster_state.remove(machine, key);
+}
+
+}  // namespace dunebridge::workers
--- /dev/null
+++ b/src/workers/reconciler.cpp
@@ -0,0 +1,104 @@
+#include "workers/reconciler.hpp"
+
+#include <algorithm>
+#include <vector>
+
+#include "state/fencing_token.hpp"
+#include "workers/placement_conditions.hpp"
+
+namespace dunebridge::workers {
+
+using state::Machine;
+using state::make_token;
+using state::Placement;
+using state::PlacementKey;
+using state::StartDelivery;
+using state::term_of;
+using wire::TaskStatus;
+using wire::WorkerHeartbeat;
+
+namespace {
+
+bool lists_placement(const WorkerHeartbeat& heartbeat, const Placement& placement) {
+    return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(), [&](const TaskStatus& task) {
+        return task.attempt == placement.attempt && task.task.index == placement.index &&
+               task.task.job == placement.job->spec.id;
+    });
+}
+
+bool lists_attempt(const WorkerHeartbeat& heartbeat, Attempt attempt) {
+    return std::any_of(heartbeat.tasks.begin(), heartbeat.tasks.end(),
+                       [&](const TaskStatus& task) { return task.attempt == attempt; });
+}
+
+}  // namespace
+
+void Reconciler::reconcile(Machine& machine, const WorkerHeartbeat& heartbeat,
+                           ExchangeKind exchange) {
+    const bool is_heartbeat = exchange == ExchangeKind::heartbeat;
+    bool reply_lost = false;
+    std::vector<PlacementKey> gone;
+    for (auto& [key, placement] : machine.tasks) {
+        if (!placement.committed) continue;
+        // The worker has read the reply to its previous heartbeat, or never will.
+        if (is_heartbeat) placement.in_heartbeat_reply = false;
+        switch (assess(machine, placement, heartbeat, exchange)) {
+            case Finding::unknown:
+                break;
+            case Finding::present:
+                placement.sent = StartDelivery::awaiting_confirmation;
+                break;
+            case Finding::gone:
+                gone.push_back(key);
+                break;
+            case Finding::start_lost:
+                placement.sent = StartDelivery::not_sent;
+                reply_lost = reply_lost || (is_heartbeat && !machine.worker.command_in_flight);
+                state_.request_commands(machine);
+                break;
+        }
+    }
+    // With a new token the worker shows whether the next reply arrives.
+    if (reply_lost) ++machine.worker.fence_counter;
+    for (const auto& key : gone) state_.remove(machine, key);
+}
+
+Reconciler::Finding Reconciler::assess(const Machine& machine, const Placement& placement,
+                                       const WorkerHeartbeat& heartbeat,
+                                       ExchangeKind exchange) const {
+    if (was_forgotten(placement, heartbeat)) return Finding::gone;
+    const auto delivery = placement.sent;
+    if (delivery == StartDelivery::not_sent || delivery == StartDelivery::in_direct_command)
+        return Finding::unknown;
+    const bool in_reply = delivery == StartDelivery::in_heartbeat_reply;
+    // A worker reads the reply to a heartbeat before it makes the next heartbeat, or never:
+    // whatever token that one shows, a start that it lacks was lost.
+    const bool start_was_in_previous_reply =
+        in_reply && exchange == ExchangeKind::heartbeat && !placement.seen;
+    const bool shows_token =
+        heartbeat.token == make_token(election_.term(), machine.worker.fence_counter);
+    if (!shows_token && !start_was_in_previous_reply) return Finding::unknown;
+    if (lists_placement(heartbeat, placement)) return Finding::present;
+    // The reply may still be on its way.
+    if (in_reply && exchange == ExchangeKind::direct_command) return Finding::unknown;
+    // What an earlier leader has placed is placed anew rather than started: it may have given the
+    // capacity and the quota to others before its end, and had no time to record that.
+    const bool not_to_start = placement.seen || must_stop(placement) || !is_of_this_term(placement);
+    return shows_token && not_to_start ? Finding::gone : Finding::start_lost;
+}
+
+// Whether the worker has forgotten the task with an earlier agent epoch. What an earlier leader may
+// have sent to this epoch counts until it is fenced off.
+bool Reconciler::was_forgotten(const Placement& placement, const WorkerHeartbeat& heartbeat) const {
+    const auto epoch = placement.agent_epoch;
+    if (epoch == 0 || heartbeat.order.agent_epoch <= epoch) return false;
+    const bool shows_term = term_of(heartbeat.token) == election_.term();
+    return (is_of_this_term(placement) || shows_term) &&
+           !lists_attempt(heartbeat, placement.attempt);
+}
+
+bool Reconciler::is_of_this_term(const Placement& placement) const {
+    return term_of(placement.attempt) == election_.term();
+}
+
+}  // namespace dunebridge::workers
--- /dev/null
+++ b/src/workers/task_status_processor.cpp
@@ -0,0 +1,139 @@
+#include "workers/task_status_processor.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "state/fencing_token.hpp"
+#include "state/task_ranges.hpp"
+
+namespace dunebridge::workers {
+
+using state::ExitedTask;
+using state::Job;
+using state::Machine;
+using state::Placement;
+using state::term_of;
+using wire::ExitReason;
+using wire::TaskPhase;
+using wire::TaskStatus;
+using wire::WorkerHeartbeat;
+
+namespace {
+// For so long a worker that refused a task for lack of room gets no other.
+constexpr Millis kRefusalBackoff{2000};
+}  // namespace
+
+TaskStatusProcessor::TaskStatusProcessor(sansio::Context& context,
+                                         const coordination::Election& election,
+                                         state::ClusterState& cluster_state,
+                                         OnTaskCompleted on_task_completed)
+    : context_(context),
+      election_(election),
+      state_(cluster_state),
+      failure_attribution_(context, cluster_state),
+      on_task_completed_(std::move(on_task_completed)) {}
+
+void TaskStatusProcessor::apply(Machine& machine, const WorkerHeartbeat& heartbeat) {
+    const auto listed_before = std::move(machine.worker.exited);
+    machine.worker.exited.clear();
+    machine.worker.unrecorded_tasks.clear();
+    for (const auto& task : heartbeat.tasks) {
+        const Job* job = state_.find_job(task.task.job);
+        const auto it =
+            job ? machine.tasks.find({job->sequence, task.task.index}) : machine.tasks.end();
+        const bool recorded = it != machine.tasks.end() && it->second.attempt == task.attempt;
+        auto* placement = recorded ? &it->second : nullptr;
+        if (task.phase == TaskPhase::exited) {
+            apply_exited(machine, task, placement, listed_before);
+        } else {
+            apply_present(machine, heartbeat, task, placement);
+        }
+    }
+}
+
+void TaskStatusProcessor::apply_present(Machine& machine, const WorkerHeartbeat& heartbeat,
+                                        const TaskStatus& task, Placement* placement) {
+    if (!placement) {
+        machine.worker.unrecorded_tasks.push_back({task.task, task.attempt});
+        state_.request_commands(machine);
+        return;
+    }
+    placement->seen = true;
+    placement->phase = task.phase;
+    placement->agent_epoch = std::max(placement->agent_epoch, heartbeat.order.agent_epoch);
+    if (task.phase != TaskPhase::running) return;
+    state_.set_running(*placement, true);
+    machine.images.insert(placement->job->spec.image);
+}
+
+// The fence counter from which on no repeat of a command can start the exited attempt again.
+std::uint64_t TaskStatusProcessor::fence_of_exited(const Machine& machine, const TaskStatus& task,
+                                                   const Placement* placement) const {
+    if (placement) return placement->fenced_from;
+    // This leader has placed it, and no longer knows in which command it was sent.
+    if (term_of(task.attempt) == election_.term()) return machine.worker.fence_counter + 1;
+    return 0;
+}
+
+void TaskStatusProcessor::apply_exited(Machine& machine, const TaskStatus& task,
+                                       Placement* placement,
+                                       const std::vector<ExitedTask>& listed_before) {
+    ExitedTask entry{task.task, task.attempt, {}, 0, fence_of_exited(machine, task, placement)};
+    Job* job = state_.find_job(task.task.job);
+    if (job) {
+        entry.record = state::progress_key(*job, task.task.index);
+        entry.outcome = state_.version();
+    }
+    for (const auto& earlier : listed_before) {
+        if (earlier.task != task.task || earlier.attempt != task.attempt) continue;
+        entry.outcome = earlier.outcome;
+        entry.fenced_from = earlier.fenced_from;
+    }
+    if (placement) {
+        apply_outcome(machine, *placement, task);
+        entry.outcome = state_.version();
+    } else if (job && task.reason == ExitReason::done) {
+        // Completed under a record that an earlier leader no longer held; the result counts.
+        state_.mark_done(*job, task.task.index);
+        entry.outcome = std::max(entry.outcome, state_.version());
+    }
+    machine.worker.exited.push_back(std::move(entry));
+}
+
+void TaskStatusProcessor::apply_outcome(Machine& machine, Placement& placement,
+                                        const TaskStatus& task) {
+    Job& job = *placement.job;
+    const auto index = placement.index;
+    context_.log(sansio::LogLevel::debug, "event=task_exited task={} try={} why={} host={}",
+                 task.task.str(), task.attempt.get(), static_cast<int>(task.reason),
+                 machine.host.get());
+    switch (task.reason) {
+        case ExitReason::done:
+            complete(machine, placement);
+            break;
+        case ExitReason::error:
+            failure_attribution_.record_failure(job, machine);
+            break;
+        case ExitReason::full:
+            machine.worker.refused_until = context_.now() + kRefusalBackoff;
+            break;
+        case ExitReason::busy:
+        case ExitReason::unknown:
+            failure_attribution_.start_backoff(job);
+            break;
+        default:
+            if (placement.preempted) state_.mark_preemption_protected(job, index);
+    }
+    state_.remove(machine, {job.sequence, index});
+}
+
+void TaskStatusProcessor::complete(Machine& machine, Placement& placement) {
+    Job& job = *placement.job;
+    if ((placement.running_since != Instant{})) {
+        on_task_completed_({&job, &machine, to_seconds(context_.now() - placement.running_since)});
+    }
+    failure_attribution_.record_success(job, machine);
+    state_.mark_done(job, placement.index);
+}
+
+}  // namespace dunebridge::workers
--- /dev/null
+++ b/src/workers/worker_leases.cpp
@@ -0,0 +1,47 @@
+#include "workers/worker_leases.hpp"
+
+#include <cstdint>
+
+#include "state/fencing_token.hpp"
+#include "workers/placement_conditions.hpp"
+
+namespace dunebridge::workers {
+
+using state::Machine;
+using state::term_of;
+
+namespace {
+// Workers' clocks may run slower than this node's by this factor.
+constexpr double kClockDrift = 1.002;
+constexpr Millis kLeaseMargin{500};
+}  // namespace
+
+void WorkerLeases::observe(Machine& machine, const wire::WorkerHeartbeat& heartbeat) const {
+    const auto& worker = machine.worker;
+    // A new agent epoch has a lease of its own, which began with it: not later than now.
+    const bool new_epoch =
+        worker.heartbeat_received && heartbeat.order.agent_epoch > worker.last.agent_epoch;
+    // Until the worker has shown this term, an earlier leader could renew its lease.
+    const bool first_of_term =
+        term_of(heartbeat.token) == election_.term() && !liveness_.has_shown_this_term(machine);
+    if (new_epoch || first_of_term) renew(machine);
+}
+
+void WorkerLeases::renew(Machine& machine) const { machine.worker.last_reply_at = context_.now(); }
+
+bool WorkerLeases::has_expired(const Machine& machine) const {
+    if (!machine.worker.heartbeat_received || !liveness_.has_shown_this_term(machine)) return false;
+    const auto lease_ms = static_cast<double>(config_.worker_lease.count()) * kClockDrift;
+    const auto longest = Millis(static_cast<std::int64_t>(lease_ms)) + kLeaseMargin;
+    return context_.now() - machine.worker.last_reply_at > longest;
+}
+
+void WorkerLeases::expire(Machine& machine) {
+    if (machine.tasks.empty() || !has_expired(machine)) return;
+    context_.log(sansio::LogLevel::info, "event=lease_expired host={} tasks={}", machine.host.get(),
+                 machine.tasks.size());
+    remove_placements_if(state_, machine,
+                         [](const auto& placement) { return placement.committed; });
+}
+
+}  // namespace dunebridge::workers
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -14,7 +14,8 @@
 
     // The job fails on so many machines, each of which is new.
     void fail_on_new_machines(state::Job& job, int count) {
-        for (int i = 0; i < count; ++i) attribution.failed(job, fixture.add_machine(++machines));
+        for (int i = 0; i < count; ++i)
+            attribution.record_failure(job, fixture.add_machine(++machines));
     }
     int machines = 100;
 };
@@ -47,7 +48,7 @@
     auto& job = fixture.add_job(1, 50);
     fail_on_new_machines(job, 4);
     ASSERT_TRUE(job.failures.faulty);
-    attribution.succeeded(job, fixture.add_machine(1));
+    attribution.record_success(job, fixture.add_machine(1));
     EXPECT_FALSE(job.failures.faulty);
     EXPECT_EQ(job.placeable_tasks(), 50u);
     EXPECT_LE(job.backoff_until, fixture.now);
@@ -57,7 +58,7 @@
     auto& machine = fixture.add_machine(1);
     for (int n = 1; n <= 3; ++n) {
         EXPECT_FALSE(machine.cordoned);
-        attribution.failed(fixture.add_job(n), machine);
+        attribution.record_failure(fixture.add_job(n), machine);
     }
     EXPECT_TRUE(machine.cordoned);
 }
@@ -67,9 +68,9 @@
     auto& job = fixture.add_job(1, 50);
     auto& machine = fixture.add_machine(1);
     fixture.cluster_state.mark_done(job, 0);
-    attribution.failed(job, machine);
+    attribution.record_failure(job, machine);
     EXPECT_FALSE(machine.cordoned);
-    attribution.failed(job, machine);
+    attribution.record_failure(job, machine);
     EXPECT_TRUE(machine.cordoned);
     EXPECT_FALSE(job.failures.faulty);
 }
@@ -80,8 +81,8 @@
     auto& second = fixture.add_job(2, 20);
     for (int n = 1; n <= 9; ++n) {
         auto& machine = fixture.add_machine(n);
-        attribution.failed(first, machine);
-        attribution.failed(second, machine);
+        attribution.record_failure(first, machine);
+        attribution.record_failure(second, machine);
     }
     EXPECT_TRUE(first.failures.faulty);
     EXPECT_TRUE(second.failures.faulty);
@@ -92,15 +93,15 @@
 TEST_F(FailureAttributionTest, AFaultyMachineIsFoundWhileFaultyJobsAreAbout) {
     auto& faulty_job = fixture.add_job(1, 20);
     auto& machine = fixture.add_machine(1);
-    attribution.failed(faulty_job, machine);
+    attribution.record_failure(faulty_job, machine);
     fail_on_new_machines(faulty_job, 3);
     ASSERT_TRUE(faulty_job.failures.faulty);
     auto& healthy = fixture.add_job(2, 20);
     fixture.cluster_state.mark_done(healthy, 0);
-    attribution.failed(healthy, machine);
-    attribution.failed(faulty_job, machine);  // says nothing about the machine any more
+    attribution.record_failure(healthy, machine);
+    attribution.record_failure(faulty_job, machine);  // says nothing about the machine any more
     EXPECT_FALSE(machine.cordoned);
-    attribution.failed(healthy, machine);
+    attribution.record_failure(healthy, machine);
     EXPECT_TRUE(machine.cordoned);
 }
 
@@ -109,8 +110,8 @@
     auto& job = fixture.add_job(1, 20);
     for (int n = 1; n <= 3; ++n) {
         auto& machine = fixture.add_machine(n);
-        attribution.failed(fixture.add_job(10 + n), machine);
-        attribution.failed(job, machine);
+        attribution.record_failure(fixture.add_job(10 + n), machine);
+        attribution.record_failure(job, machine);
     }
     EXPECT_FALSE(job.failures.faulty);
 }
@@ -118,9 +119,9 @@
 TEST_F(FailureAttributionTest, AMachineIsClearedWhenTheEvidenceAgainstItIsAJobsFault) {
     auto& machine = fixture.add_machine(1);
     auto& job = fixture.add_job(1, 20);
-    attribution.failed(job, machine);
-    attribution.failed(fixture.add_job(2), machine);
-    attribution.failed(fixture.add_job(3), machine);
+    attribution.record_failure(job, machine);
+    attribution.record_failure(fixture.add_job(2), machine);
+    attribution.record_failure(fixture.add_job(3), machine);
     ASSERT_TRUE(machine.cordoned);
     fail_on_new_machines(job, 3);
     ASSERT_TRUE(job.failures.faulty);
@@ -129,22 +130,22 @@
 
 TEST_F(FailureAttributionTest, SuccessClearsTheMachine) {
     auto& machine = fixture.add_machine(1);
-    attribution.failed(fixture.add_job(1), machine);
-    attribution.failed(fixture.add_job(2), machine);
-    attribution.succeeded(fixture.add_job(3), machine);
-    attribution.failed(fixture.add_job(4), machine);
+    attribution.record_failure(fixture.add_job(1), machine);
+    attribution.record_failure(fixture.add_job(2), machine);
+    attribution.record_success(fixture.add_job(3), machine);
+    attribution.record_failure(fixture.add_job(4), machine);
     EXPECT_FALSE(machine.cordoned);
 }
 
 // The tasks that fail together count once, and the job is still tried within 90 s.
 TEST_F(FailureAttributionTest, PausesGrowToALimitAndOneWaveOfFailuresCountsOnce) {
     auto& job = fixture.add_job(1, 50);
-    for (int n = 0; n < 20; ++n) attribution.pause(job);
+    for (int n = 0; n < 20; ++n) attribution.start_backoff(job);
     EXPECT_LT(job.backoff_until - fixture.now, Millis(1300));
     Millis longest{0};
     for (int n = 0; n < 12; ++n) {
         fixture.advance(std::max(job.backoff_until - fixture.now, Millis(0)));
-        attribution.pause(job);
+        attribution.start_backoff(job);
         EXPECT_GT(job.backoff_until, fixture.now);
         longest = std::max(longest, job.backoff_until - fixture.now);
     }
