--- a/tests/command_delivery_test.cpp
+++ b/tests/command_delivery_test.cpp
@@ -73,7 +73,7 @@
 
 // A direct command without an answer may yet start the task: what a report of the token before
 // lacks is no proof.
-TEST(ControllerTest, ReportsOfAnOlderTokenProveNothing) {
+TEST(ControllerTest, HeartbeatsWithAnOlderTokenProveNothing) {
     ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
@@ -93,7 +93,7 @@
 }
 
 // Reports arrive from a machine that no answer and no command reaches.
-TEST(ControllerTest, AnUnresponsiveMachineGetsNoWorkAndIsReturned) {
+TEST(ControllerTest, AnUnresponsiveMachineGetsNoWorkAndIsScaledIn) {
     ControllerHarness s(1);
     const auto early = job(1);
     const auto late = job(2);
--- a/tests/compound_fault_test.cpp
+++ b/tests/compound_fault_test.cpp
@@ -1,6 +1,6 @@
-// Machines late or missing, controllers silent or stopped, users asking in masses, guests without a
-// guarantee and jobs that fail everywhere: each alone, joined with the older troubles, and drawn.
-// The rules are checked after every step; in the end every job is over.
+// Slow or missing boots, crashed or stalled controllers, poll storms, teams without a quota and
+// jobs that fail everywhere: each alone, combined with other faults, and random. Invariants are
+// checked after every step; in the end every job is in a terminal phase.
 #include <gtest/gtest.h>
 
 #include <ostream>
@@ -33,20 +33,20 @@
 }
 
 const Scenario kScenarios[] = {
-    {"MachinesLateEverywhere",
+    {"SlowBootsEverywhere",
      [](SimulatedCluster& w) {
          w.faults().inject_boot_fault(5, 0.2, s(90));
          w.faults().kill_machines(60);
          w.run_for(s(100));
      }},
-    {"NoMachinesFromOneZoneWhileTheOtherIsCutOff",
+    {"NoBootsInOneZoneWhileTheOtherIsPartitioned",
      [](SimulatedCluster& w) {
          w.faults().inject_boot_fault(1, 1, s(90), "a");
          w.faults().partition_zone("b", w.controllers().leader(), s(30));
          w.faults().kill_machines(40);
          w.run_for(s(100));
      }},
-    {"MachinesLateOverAChangeOfLeader",
+    {"SlowBootsOverAFailover",
      [](SimulatedCluster& w) {
          w.faults().inject_boot_fault(6, 0.3, s(60));
          w.faults().kill_machines(50);
@@ -54,20 +54,20 @@
          w.faults().crash_leader(s(4));
          w.run_for(s(60));
      }},
-    {"AllSilentForOverAMinute",
+    {"AllCrashedForOverAMinute",
      [](SimulatedCluster& w) {
          w.faults().cancel_running(3);
          w.faults().crash_all(s(80));
          w.run_for(s(90));
      }},
-    {"AllStandStillForOverAMinute",
+    {"AllStalledForOverAMinute",
      [](SimulatedCluster& w) {
          w.faults().cancel_running(3);
          w.run_for(s(0.1));
          w.faults().stall_all_processes(s(70));
          w.run_for(s(80));
      }},
-    {"AllSilentWithAnOutageBeyondTheTimeOfCancellations",
+    {"AllCrashedWithAnOutageBeyondTheCancellationDeadline",
      [](SimulatedCluster& w) {
          w.faults().kv_store_outage(s(60));
          w.faults().cancel_running(4);
@@ -75,7 +75,7 @@
          w.faults().crash_all(s(62));
          w.run_for(s(70));
      }},
-    {"OneSilentForOverAMinuteThenAnother",
+    {"OneCrashedForOverAMinuteThenAnother",
      [](SimulatedCluster& w) {
          const auto first = w.controllers().leader();
          w.faults().crash_controller(first, s(90));
@@ -84,7 +84,7 @@
          w.faults().cancel_running(3);
          w.run_for(s(80));
      }},
-    {"ALeaderStopsInAnElectionALoadAndATransaction",
+    {"ALeaderStallsInAnElectionALoadAndATransaction",
      [](SimulatedCluster& w) {
          for (int i = 0; i < 6; ++i) {
              w.faults().crash_leader(s(0.2));
@@ -96,7 +96,7 @@
              w.run_for(s(9));
          }
      }},
-    {"AStoppedLeaderAndLateCommands",
+    {"AStalledLeaderAndDelayedCommands",
      [](SimulatedCluster& w) {
          w.faults().delay_commands(s(9));
          w.run_for(s(1));
@@ -105,7 +105,7 @@
          w.faults().cancel_running(5);
          w.run_for(s(30));
      }},
-    {"AStoppedLeaderAndLateWrites",
+    {"AStalledLeaderAndDelayedTransactions",
      [](SimulatedCluster& w) {
          w.faults().delay_transactions(0.3, s(30));
          w.run_for(s(5));
@@ -114,7 +114,7 @@
          w.faults().cancel_running(4);
          w.run_for(s(40));
      }},
-    {"AStoppedLeaderWhileOthersConfirmCancellations",
+    {"AStalledLeaderWhileOthersConfirmCancellations",
      [](SimulatedCluster& w) {
          w.faults().stall_process(w.controllers().leader(), s(2.5));
          w.run_for(s(0.2));
@@ -126,14 +126,14 @@
          w.run_for(s(60));
      },
      [](ScenarioOptions& o) { o.task_s = 120; }},
-    {"MassesOfPollsAndARollingRestart",
+    {"APollStormAndARollingRestart",
      [](SimulatedCluster& w) {
          w.faults().poll_storm(8, s(50));
          restart_in_turn(w);
          w.faults().cancel_running(4);
          w.run_for(s(20));
      }},
-    {"GuestsWhileTheStateServiceIsSlowAndWritesLag",
+    {"GuestsWhileTheKeyValueStoreIsSlowAndTransactionsLate",
      [](SimulatedCluster& w) {
          w.run_for(s(10));
          w.faults().slow_kv_store(s(40));
@@ -143,7 +143,7 @@
          w.run_for(s(30));
      },
      [](ScenarioOptions& o) { o.guest_team = true; }},
-    {"GuestsDuringTheLossOfAZone",
+    {"GuestsDuringAZonePartition",
      [](SimulatedCluster& w) {
          w.run_for(s(15));
          w.faults().partition_zone("a", w.controllers().leader(), s(30));
@@ -151,7 +151,7 @@
          w.run_for(s(50));
      },
      [](ScenarioOptions& o) { o.guest_team = true; }},
-    {"FaultyJobsWhileATeamIsAtItsLimitAndMachinesHang",
+    {"FaultyJobsWhileATeamIsAtItsQuotaAndWorkersHang",
      [](SimulatedCluster& w) {
          w.faults().inject_worker_fault(WorkerFault::hung, 40, s(12));
          w.run_for(s(5));
@@ -176,7 +176,7 @@
 
 class CompoundFaults : public testing::TestWithParam<std::tuple<Scenario, std::uint64_t>> {};
 
-TEST_P(CompoundFaults, RulesHoldAndJobsEnd) {
+TEST_P(CompoundFaults, InvariantsHoldAndJobsEnd) {
     const auto& [scenario, seed] = GetParam();
     auto options = compound_options(seed);
     scenario.options(options);
@@ -195,10 +195,10 @@
                                     std::to_string(std::get<1>(p.param));
                          });
 
-// The roll-out from the version in production during each of them.
+// A rolling upgrade from the version in production during each scenario.
 class CompoundFaultsDuringRollout : public testing::TestWithParam<Scenario> {};
 
-TEST_P(CompoundFaultsDuringRollout, RulesHoldAndJobsEnd) {
+TEST_P(CompoundFaultsDuringRollout, InvariantsHoldAndJobsEnd) {
     auto options = compound_options(9);
     options.old_format = config::kChunkFormat;
     GetParam().options(options);
@@ -218,9 +218,9 @@
 INSTANTIATE_TEST_SUITE_P(Named, CompoundFaultsDuringRollout, testing::ValuesIn(kScenarios),
                          [](const auto& p) { return std::string(p.param.name); });
 
-// Hundreds of small jobs that are asked about by the thousand: what users ask stays within its part
-// of the state service's rate, so that two changes of leader cost two terms.
-TEST(PollStorm, LeaveTheLeaderItsPartOfTheRate) {
+// Hundreds of small jobs polled by the thousand: users' reads stay within their share of the
+// key-value store's rate limit, so that two failovers cost two terms.
+TEST(PollStorm, LeavesTheLeaderItsShareOfTheRateLimit) {
     auto options = compound_options(3);
     options.jobs = 400;
     options.most_tasks = 1;
@@ -239,8 +239,8 @@
     expect_completed(cluster);
 }
 
-// A fleet of hundreds in CI; the same day at any size is `fleet MACHINES` (CONTRIBUTING.md).
-TEST(LargeFleet, KeepsItsTasksOverAChangeOfLeaderAndASilenceOfAll) {
+// A fleet of hundreds in CI; the same scenario at any size is `fleet MACHINES` (CONTRIBUTING.md).
+TEST(LargeFleet, KeepsItsTasksOverAFailoverAndACrashOfAllControllers) {
     SimulatedCluster cluster(large_fleet_options(400));
     const auto result = run_large_fleet_scenario(cluster);
     expect_completed(cluster);
@@ -250,7 +250,7 @@
     EXPECT_LE(cluster.kv_store().most_changes_in_a_second(), 140);
 }
 
-// Jobs with a mistake neither cost healthy machines nor draw new ones by the dozen.
+// Failing jobs neither cost healthy machines nor cause new ones to be rented by the dozen.
 TEST(FaultyJobs, CostNoMachines) {
     auto options = compound_options(5);
     options.jobs = 40;
@@ -267,10 +267,10 @@
     EXPECT_LT(cluster.cloud().rented(), healthy.cloud().rented() * 2);
 }
 
-// Days of these troubles and all older ones, drawn by a seed.
+// These faults and all others, drawn by a seed.
 class RandomCompoundFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RandomCompoundFaults, RulesHoldAndJobsEnd) {
+TEST_P(RandomCompoundFaults, InvariantsHoldAndJobsEnd) {
     const auto seed = GetParam();
     SimulatedCluster cluster(random_compound_options(seed));
     run_random_compound_scenario(cluster);
--- a/tests/concurrent_fault_test.cpp
+++ b/tests/concurrent_fault_test.cpp
@@ -1,6 +1,5 @@
-// Two troubles at once: each meeting that the operators named, brought about with several seeds,
-// and meetings drawn by chance. The rules are checked after every step; in the end every job is
-// over.
+// Concurrent faults: each combination that the operators named, with several seeds, and random
+// ones. Invariants are checked after every step; in the end every job is in a terminal phase.
 #include <gtest/gtest.h>
 
 #include <ostream>
@@ -25,7 +24,7 @@
 Millis s(double seconds) { return from_seconds(seconds); }
 
 const Scenario kScenarios[] = {
-    {"CommandsHeldAndTheMachineGoesOn",
+    {"CommandsDelayedWhileWorkersHang",
      [](SimulatedCluster& w) {
          w.faults().delay_commands(s(9));
          w.faults().inject_worker_fault(WorkerFault::hung, 60, s(8));
@@ -42,7 +41,7 @@
          w.faults().kv_store_outage(s(58));
          w.run_for(s(60));
      }},
-    {"CancelledAtANodeThatNoPeerHears",
+    {"CancelledAtAControllerPartitionedFromItsPeers",
      [](SimulatedCluster& w) {
          w.faults().refuse_leader(s(14));
          w.faults().partition_controller((w.controllers().leader() + 1) % w.controllers().size(),
@@ -63,7 +62,7 @@
              w.run_for(s(11));
          }
      }},
-    {"MoreWorkThanRoomOverSlowLinks",
+    {"MoreWorkThanCapacityOverSlowLinks",
      [](SimulatedCluster& w) {
          w.faults().slow_kv_store(s(40));
          w.faults().delay_commands(s(5));
@@ -76,7 +75,7 @@
          o.jobs = 60;
          o.machines = 3;
      }},
-    {"SlowThenTheLeaderRefusedThenAll",
+    {"SlowThenTheLeaderRefusedThenAnOutage",
      [](SimulatedCluster& w) {
          w.faults().slow_kv_store(s(12));
          w.run_for(s(10));
@@ -87,7 +86,7 @@
          w.faults().kv_store_outage(s(50));
          w.run_for(s(60));
      }},
-    {"TasksEndFarApartOverChangesOfLeader",
+    {"TasksEndFarApartOverFailovers",
      [](SimulatedCluster& w) {
          for (int i = 0; i < 4; ++i) {
              w.faults().crash_leader(s(3));
@@ -96,13 +95,13 @@
          }
      },
      [](ScenarioOptions& o) { o.most_tasks = 3; }},
-    {"AllControllersAwayBeyondTheLease",
+    {"AllControllersDownBeyondTheLease",
      [](SimulatedCluster& w) {
          w.faults().cancel_running(3);
          w.faults().crash_all(s(21));
          w.run_for(s(30));
      }},
-    {"LeaderEndsWhileMachinesAreNotReached",
+    {"LeaderCrashesWhileMachinesAreUnreachable",
      [](SimulatedCluster& w) {
          w.faults().inject_worker_fault(WorkerFault::unreachable, 40, s(22));
          w.faults().inject_worker_fault(WorkerFault::inbound_lost, 40, s(25));
@@ -120,7 +119,7 @@
          w.faults().crash_leader(s(1));
          w.run_for(s(35));
      }},
-    {"AZoneCutOffBeyondTheLeaseWithAController",
+    {"AZonePartitionedBeyondTheLeaseWithAController",
      [](SimulatedCluster& w) {
          w.faults().partition_zone("a", w.controllers().leader(), s(25));
          w.run_for(s(2));
@@ -130,7 +129,7 @@
          w.faults().cancel_running(5);
          w.run_for(s(30));
      }},
-    {"ReportsArriveAfterANewLeaderHasActed",
+    {"HeartbeatsArriveAfterANewLeaderHasActed",
      [](SimulatedCluster& w) {
          w.faults().inject_worker_fault(WorkerFault::delayed, 60, s(9));
          w.faults().duplicate_heartbeats(0.6, s(40));
@@ -146,7 +145,7 @@
              w.run_for(s(15));
          }
      }},
-    {"HandOverAndBackAllEndOneReturns",
+    {"FailoverAndBackThenAllCrashAndOneRestarts",
      [](SimulatedCluster& w) {
          for (int i = 0; i < 3; ++i) {
              w.faults().crash_leader(s(0.4));
@@ -168,7 +167,7 @@
          w.run_for(s(50));
      },
      [](ScenarioOptions& o) { o.task_s = 100; }},
-    {"MuteMachines",
+    {"HeartbeatsLost",
      [](SimulatedCluster& w) {
          w.faults().inject_worker_fault(WorkerFault::heartbeats_lost, 60, s(30));
          w.run_for(s(5));
@@ -182,7 +181,7 @@
          w.faults().inject_invalid_requests(s(90));
          w.run_for(s(90));
      }},
-    {"OldReportsOfEarlierSessionsAndAttempts",
+    {"OldHeartbeatsOfEarlierEpochsAndAttempts",
      [](SimulatedCluster& w) {
          w.faults().duplicate_heartbeats(0.8, s(60));
          w.faults().inject_worker_fault(WorkerFault::unreachable, 50, s(18));
@@ -191,7 +190,7 @@
          w.faults().delay_commands(s(6));
          w.run_for(s(40));
      }},
-    {"ATeamAtItsLimitOverAChangeOfLeader",
+    {"ATeamAtItsQuotaOverAFailover",
      [](SimulatedCluster& w) {
          w.faults().inject_worker_fault(WorkerFault::delayed, 40, s(20));
          w.faults().crash_leader(s(3));
@@ -208,7 +207,7 @@
 
 class ConcurrentFaults : public testing::TestWithParam<std::tuple<Scenario, std::uint64_t>> {};
 
-TEST_P(ConcurrentFaults, RulesHoldAndJobsEnd) {
+TEST_P(ConcurrentFaults, InvariantsHoldAndJobsEnd) {
     const auto& [scenario, seed] = GetParam();
     ScenarioOptions options;
     options.seed = seed;
@@ -233,10 +232,10 @@
                                     std::to_string(std::get<1>(p.param));
                          });
 
-// Twos and threes of all troubles, so that meetings which nobody named are met too.
+// Two or three faults of all kinds at a time, so that combinations which nobody named occur too.
 class RandomScenarios : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RandomScenarios, RulesHoldAndJobsEnd) {
+TEST_P(RandomScenarios, InvariantsHoldAndJobsEnd) {
     SimulatedCluster cluster(random_scenario_options(GetParam()));
     run_random_scenario(cluster, GetParam());
     expect_completed(cluster);
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -13,7 +13,7 @@
 using Hosts = std::vector<std::string>;
 
 // Malformed messages are answered and dropped, and do not fill the log.
-TEST(ControllerTest, ComplaintsOfOneKindAreLimitedInRate) {
+TEST(ControllerTest, LogLinesOfOneKindAreRateLimited) {
     controller::Controller core(ControllerHarness::config(), 1, sansio::LogLevel::info);
     std::vector<controller::Command> batch;
     for (std::uint64_t i = 1; i <= 200; ++i) {
@@ -29,7 +29,7 @@
 
 // A leader that stood still for longer than its lease may have been replaced: it answers none of
 // what waited for it as one entitled to.
-TEST(ControllerTest, NothingIsAnsweredAsTheLeaderAfterAStandStill) {
+TEST(ControllerTest, NoRequestIsServedAsLeaderAfterAnEventLoopStall) {
     ControllerHarness s(1);
     auto w = machine_for(s, job(1));
     ASSERT_EQ(s.send_heartbeat(w.next_heartbeat()).first, 200);
@@ -42,7 +42,7 @@
 
 // A cancellation that the leader does not know of: its next placement is refused by the state
 // service, and nothing of the job starts.
-TEST(ControllerTest, NothingStartsOnceTheEndIsOnRecord) {
+TEST(ControllerTest, NothingStartsOnceTheTerminalPhaseIsOnRecord) {
     ControllerHarness s(1);
     s.run(Millis(3000));
     auto first = job(1);
--- a/tests/dependency_scenario_test.cpp
+++ b/tests/dependency_scenario_test.cpp
@@ -11,7 +11,7 @@
 // Whole days in which most chains are too long for one transaction, as it has few preconditions.
 class ManyAncestorsScenarios : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(ManyAncestorsScenarios, RulesHoldAndJobsEnd) {
+TEST_P(ManyAncestorsScenarios, InvariantsHoldAndJobsEnd) {
     auto options = random_scenario_options(GetParam());
     options.pipelines = 8;
     options.fan_in = 24;
@@ -24,7 +24,7 @@
 
 class DependencyScenarios : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(DependencyScenarios, RulesHoldAndJobsEnd) {
+TEST_P(DependencyScenarios, InvariantsHoldAndJobsEnd) {
     auto options = random_scenario_options(GetParam());
     options.pipelines = 12;
     SimulatedCluster cluster(options);
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -44,7 +44,7 @@
     for (std::size_t i = 0; i < cluster.controllers().size(); ++i) {
         cluster.faults().upgrade((i + GetParam()) % cluster.controllers().size(), s(3));
         cluster.run_for(s(4));
-        // Leadership goes to and fro between the versions.
+        // Leadership moves back and forth between the versions.
         if (i == 1) {
             cluster.faults().partition_controller(cluster.controllers().leader(),
                                                   {true, true, false}, LinkFault::delay, s(5));
@@ -69,7 +69,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, Upgrade, testing::Range<std::uint64_t>(1, 5));
 
-// ---- roll-outs in every order, with troubles in their midst ----
+// ---- roll-outs in every order, with faults during them ----
 
 struct RollOut {
     const char* name;
@@ -114,7 +114,7 @@
          EXPECT_NE(cluster.record_format(), config::kNewestFormat);
          one_by_one(cluster, leader + 1);
      }},
-    {"BackWithinAFractionOfASecondInMidElection",
+    {"QuickRestartsDuringAnElection",
      [](SimulatedCluster& cluster) {
          for (std::size_t i = 0; i < cluster.controllers().size(); ++i) {
              cluster.faults().crash_leader(s(0.2));
@@ -125,7 +125,7 @@
              cluster.run_for(s(6));
          }
      }},
-    {"AnOutageOfTheStateService",
+    {"AnOutageOfTheKeyValueStore",
      [](SimulatedCluster& cluster) {
          cluster.faults().upgrade(0, s(3));
          cluster.run_for(s(5));
@@ -146,7 +146,7 @@
          cluster.run_for(s(10));
          one_by_one(cluster, leader + 2);
      }},
-    {"AZoneCutOff",
+    {"AZonePartitioned",
      [](SimulatedCluster& cluster) {
          cluster.faults().upgrade(0, s(3));
          cluster.run_for(s(5));
@@ -155,7 +155,7 @@
          cluster.run_for(s(25));
          cluster.faults().upgrade(1, s(3));
      }},
-    {"TwoZonesApart",
+    {"TwoZonesPartitionedFromEachOther",
      [](SimulatedCluster& cluster) {
          const auto leader = cluster.controllers().leader();
          cluster.faults().upgrade((leader + 1) % cluster.controllers().size(), s(3));
@@ -186,7 +186,7 @@
 class Rollouts : public testing::TestWithParam<std::tuple<RollOut, std::uint64_t, std::uint64_t>> {
 };
 
-TEST_P(Rollouts, KeepTheRulesAndEndInTheNewestFormat) {
+TEST_P(Rollouts, KeepTheInvariantsAndEndInTheNewestFormat) {
     const auto& [rollout, old_format, seed] = GetParam();
     auto options = large_jobs(seed);
     options.old_format = old_format;
@@ -209,9 +209,9 @@
                                                 std::get<1>(row.param), std::get<2>(row.param));
                          });
 
-// One controller stays away, so that the older format stays in force when the limits fall: the
-// ledger goes on working, with what fits.
-TEST(LimitsBeforeFormatSwitch, TheLedgerGoesOnWorking) {
+// One controller stays down, so that the older format stays in force when the limits fall: the
+// cluster state goes on working, with what fits.
+TEST(LimitsBeforeFormatSwitch, TheClusterStateGoesOnWorking) {
     SimulatedCluster cluster(large_jobs(9));
     cluster.run_for(s(40));
     cluster.faults().upgrade(1, s(2));
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -26,7 +26,7 @@
     EXPECT_DOUBLE_EQ(config.teams[0].cpus_max, 16);
 }
 
-TEST_F(FilesTest, LimitsOfTheStateServiceToCome) {
+TEST_F(FilesTest, FutureLimitsOfTheKeyValueStore) {
     const auto today = load_settings(write("today.toml", settings()), {}).kv_limits;
     EXPECT_EQ(today.value_bytes(), 16u * 1024);
     EXPECT_EQ(today.max_preconditions(), 192u);
@@ -42,7 +42,7 @@
     EXPECT_NE(complaint(bad).find("cluster.state.next.value_kb"), std::string::npos);
 }
 
-TEST_F(FilesTest, ComplaintsNameFileAndField) {
+TEST_F(FilesTest, ErrorsNameFileAndField) {
     const auto bad = write("bad.toml", settings("lease_s = \"long\""));
     EXPECT_NE(complaint(bad).find(bad + ": cluster.workers.lease_s"), std::string::npos);
     const auto missing = write("missing.toml", settings(""));
@@ -50,7 +50,7 @@
     EXPECT_NE(complaint(write("broken.toml", "label = ")).find("line 1"), std::string::npos);
 }
 
-TEST_F(FilesTest, OperatorsSettings) {
+TEST_F(FilesTest, OperatorsSettingsAreReadAndChecked) {
     const auto toml = write("o.toml", settings());
     const auto good = write("o.xml", "<dunebridge><fleet headroom=\"1.5\"/></dunebridge>");
     EXPECT_DOUBLE_EQ(load_settings(toml, good).tuning.headroom, 1.5);
@@ -83,7 +83,7 @@
            quota + "\n";
 }
 
-TEST_F(FilesTest, OddButValidSettingsStart) {
+TEST_F(FilesTest, UnusualButValidSettingsStart) {
     const std::string tiny = "cpu = 0.01\nmemory_mb = 16\nfd_limit = 32";
     const std::string huge = "cpu = 64\nmemory_mb = 1000000\nfd_limit = 1000000\nmore = true";
     int n = 0;
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -1,5 +1,5 @@
-// Seeded random days: the cores of three controllers against stand-ins, with the protocol's rules
-// checked after every step, and every job over some time after the last fault.
+// Seeded random scenarios: three controllers in a simulated cluster, with the invariants checked
+// after every step, and every job in a terminal phase some time after the last fault.
 #include <gtest/gtest.h>
 
 #include "sim/expectations.hpp"
@@ -35,13 +35,14 @@
     EXPECT_EQ(cluster.statistics().scaled_in_with_tasks, 0u);
 }
 
-// A leader that loses the state service and the others, but not its workers, must not keep them:
-// they find the new leader before their leases end, and nothing late of the old one counts.
-TEST(Simulation, IsolatedLeaderLetsItsWorkersGo) {
+// A leader that loses the key-value store and its peers, but not its workers, must release them:
+// they find the new leader before their leases expire, and late messages of the old one have no
+// effect.
+TEST(Simulation, IsolatedLeaderReleasesItsWorkers) {
     ScenarioOptions options;
     options.fault_every_s = 0;
     options.faults_s = 40;
-    options.task_s = 150;  // nothing to commit, which would tell the leader by itself
+    options.task_s = 150;  // nothing to commit, which would show the leader its loss
     SimulatedCluster cluster(options);
     cluster.run_for(Millis(100000));
     const auto old = cluster.controllers().leader();
@@ -57,7 +58,7 @@
 }
 
 // A leader that is back within a fraction of a second, also while another is being elected.
-TEST(Simulation, QuickRestartsKeepTheRules) {
+TEST(Simulation, QuickRestartsKeepTheInvariants) {
     ScenarioOptions options;
     options.fault_every_s = 0;
     SimulatedCluster cluster(options);
@@ -70,8 +71,8 @@
     EXPECT_EQ(cluster.statistics().scaled_in_with_tasks, 0u);
 }
 
-// The state service refuses the leader alone, others confirm cancellations, and then it is down for
-// all for longer than `cancel_s`: the leader's workers go on reporting to it all the while.
+// The key-value store refuses the leader alone, others confirm cancellations, and then it is down
+// for all for longer than `cancel_s`: meanwhile the leader's workers go on sending it heartbeats.
 TEST(Simulation, CancellationsThatTheLeaderCannotReadAreKept) {
     ScenarioOptions options;
     options.fault_every_s = 0;
@@ -90,13 +91,13 @@
         ASSERT_TRUE(cluster.violated_invariants().empty()) << cluster.describe_violations();
         EXPECT_GT(cluster.users().cancellations_seen(), record_response);
     }
-    // The peers answer for what they told: the outage costs no running task.
+    // Peers vouch for the cancellations they confirmed: the outage costs no running task.
     EXPECT_EQ(cluster.killed_by_lease(), 0u);
 }
 
 // A large job of lower priority begins within four minutes although small urgent ones would take
 // every core all the time: waiting work ages.
-TEST(Simulation, LargeJobBeginsUnderAFlowOfUrgentOnes) {
+TEST(Simulation, LargeJobStartsUnderAFlowOfUrgentOnes) {
     ScenarioOptions options;
     options.fault_every_s = 0;
     options.urgent_flow = true;
@@ -109,7 +110,7 @@
     EXPECT_LT(*cluster.users().largest_job_wait_s(), 240);
 }
 
-// Ten times the fleet and the jobs: the state service's limits are enforced by the stand-in, and
+// Ten times the fleet and the jobs: the key-value store's limits are enforced by the stand-in, and
 // the changes sent to it must not grow with tasks or machines.
 TEST(Simulation, TenTimesTheSize) {
     ScenarioOptions options;
@@ -126,8 +127,8 @@
     EXPECT_LT(static_cast<double>(cluster.kv_store().changes()) / cluster.elapsed_s(), 20);
 }
 
-// About the size of the largest fleet times 1.5, with the limits of the state service and the cloud
-// enforced, leader changes, and a third of the machines dying at once.
+// About the size of the largest fleet times 1.5, with the limits of the key-value store and the
+// cloud enforced, leader changes, and a third of the machines dying at once.
 TEST(Simulation, FleetOfTwoThousand) {
     ScenarioOptions options;
     options.seed = 11;
@@ -159,7 +160,7 @@
 
 class WorkerFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(WorkerFaults, RulesHoldAndJobsEnd) {
+TEST_P(WorkerFaults, InvariantsHoldAndJobsEnd) {
     ScenarioOptions options;
     options.seed = GetParam();
     SimulatedCluster cluster(options);
@@ -169,7 +170,7 @@
 
 class OverlappingFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(OverlappingFaults, RulesHoldAndJobsEnd) {
+TEST_P(OverlappingFaults, InvariantsHoldAndJobsEnd) {
     ScenarioOptions options;
     options.seed = GetParam();
     options.fault_every_s = 3;
@@ -179,13 +180,14 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, OverlappingFaults, testing::Range<std::uint64_t>(100, 116));
 
-// More jobs than the fleet can do, faults every two to eight seconds. These seeds broke rules once:
-// a start taken for unsent although its task was there (1004, 1216, 1511, 1607), and a new leader
-// that started what its predecessor had placed, room and quota of which were given away (1036,
-// 1421), and the end of a lease taken for the end of a session that had begun since (3222).
+// More jobs than the fleet can run, faults every two to eight seconds. These seeds once violated
+// invariants: a start taken for unsent although its task ran (1004, 1216, 1511, 1607), a new leader
+// that started what its predecessor had placed although the capacity and quota had been given to
+// others (1036, 1421), and a lease expiry taken for the end of an agent epoch that began later
+// (3222).
 class Crowded : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Crowded, RulesHold) {
+TEST_P(Crowded, InvariantsHold) {
     ScenarioOptions options;
     options.seed = GetParam();
     options.fault_every_s = options.seed % 3 == 0 ? 2 : options.seed % 3 == 1 ? 4 : 8;
@@ -199,10 +201,10 @@
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, Crowded, testing::Values(1004, 1036, 1216, 1421, 1511, 1607, 3222));
 
-// Troubles of the larger fleets, on top of the others.
+// The faults of larger fleets, in addition to the others.
 class SevereFaults : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(SevereFaults, RulesHold) {
+TEST_P(SevereFaults, InvariantsHold) {
     ScenarioOptions options;
     options.severe_faults = true;
     options.seed = GetParam();
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -63,7 +63,7 @@
 
 // Every place is taken by idle check-in connections, then by ones that never ask: a user still
 // gets an answer each time, and those with the most places lose one.
-TEST_F(SocketsTest, NoGroupShutsOutAnother) {
+TEST_F(SocketsTest, NoGroupOfClientsShutsOutAnother) {
     const auto port = serve(10).port();
     run();
     std::vector<std::unique_ptr<Connection>> workers;
@@ -117,7 +117,7 @@
 
 // The process stands still for longer than the call may take; the answer, too long to be read at
 // once, came before that time was over. It is read, not given up.
-TEST_F(SocketsTest, AnAnswerThatCameDuringAStandStillIsRead) {
+TEST_F(SocketsTest, AResponseThatArrivedDuringAStallIsRead) {
     constexpr std::size_t bytes = std::size_t{4} * 1024 * 1024;
     boost::asio::steady_timer delay(io_);
     std::unique_ptr<net::HttpServer> server;
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -1,5 +1,5 @@
-// Transactions of the ledger whose answers are lost: each is carried out once or not at all, and
-// the leader keeps its term meanwhile.
+// Transactions of the cluster state whose responses are lost: each is carried out once or not at
+// all, and the leader keeps its term meanwhile.
 #include <gtest/gtest.h>
 
 #include "kv/keys.hpp"
@@ -23,9 +23,9 @@
     return options;
 }
 
-// The leader's transaction with a job's end is lost, and a user's cancellation at another node
-// comes first: what is on record holds, also for the job that waits on it.
-TEST(LostTransaction, ThatSetsAnEndYieldsToACancellation) {
+// The leader's transaction with a job's completion is lost, and a user's cancellation at another
+// controller comes first: what is on record holds, also for the job that depends on it.
+TEST(LostTransaction, OfATerminalPhaseYieldsToACancellation) {
     ControllerHarness s(1);
     s.run(Millis(3000));
     const auto first = job(1);
@@ -35,7 +35,7 @@
     ASSERT_EQ(s.submit(second), 201);
     auto w = ready_machine(s, 0);
     run_workers(s, {&w}, 3);
-    s.state().set_watches_stalled(true);  // nor does the watch of the ends tell of it
+    s.state().set_watches_stalled(true);  // nor does the watch of terminal phases show it
     s.set_writes_lost(true);
     finish_task(w, first.id);
     run_workers(s, {&w}, 1);
@@ -64,7 +64,7 @@
     expect_completed(cluster);
 }
 
-// Before, each lost answer cost a term and a load of the ledger: one every three seconds.
+// Earlier, each lost response cost a term and a load of the cluster state: one every three seconds.
 TEST_P(LostResponses, OfTransactionsCarriedOutLateCostNoTerm) {
     expect_no_term_lost(GetParam(), &FaultInjector::delay_transactions);
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -250,7 +250,7 @@
 }
 
 // After the switch the older version does not act on what it would misread.
-TEST(ProductionFormat, TheOlderVersionStopsAtTheMark) {
+TEST(ProductionFormat, TheOlderVersionStopsAtTheFormatMark) {
     auto config = ControllerHarness::config();
     config.newest_record_format = 2;
     ControllerHarness harness(1, config);
--- a/tests/worker_lease_test.cpp
+++ b/tests/worker_lease_test.cpp
@@ -13,7 +13,7 @@
 using Hosts = std::vector<std::string>;
 
 // Late copies of reports count neither for the lease, nor as a sign of life, nor as proof.
-TEST(ControllerTest, LateCopiesHaveNoEffect) {
+TEST(ControllerTest, LateDuplicatesOfHeartbeatsHaveNoEffect) {
     ControllerHarness s(1);
     s.run(Millis(3000));
     const auto j = job(1);
@@ -59,7 +59,7 @@
 
 // A worker forgets its tasks with its session; a copy of an earlier session does not bring them
 // back.
-TEST(ControllerTest, ALaterSessionProvesTheEarlierOnesTasksGone) {
+TEST(ControllerTest, ANewAgentEpochProvesTheEarlierOnesTasksGone) {
     ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
@@ -84,7 +84,7 @@
 }
 
 // Until the worker has shown the new leader's term, the one before could renew its lease.
-TEST(ControllerTest, ALeaseProvesNothingUntilTheTermWasShown) {
+TEST(ControllerTest, LeaseExpiryProvesNothingUntilTheTermWasAcknowledged) {
     ControllerHarness s(1);
     const auto j = job(1);
     auto w = machine_for(s, j);
@@ -105,7 +105,7 @@
 // Only direct commands get through, and they renew no lease. When the worker's ends, its new
 // session has a lease of its own: the end of the old one proves nothing about what the new one was
 // sent.
-TEST(ControllerTest, ANewSessionHasALeaseOfItsOwn) {
+TEST(ControllerTest, ANewAgentEpochHasALeaseOfItsOwn) {
     ControllerHarness s(1);
     const auto first = job(1);
     const auto second = job(2);
@@ -130,7 +130,7 @@
 }
 
 // docs/incidents/0004: a new leader took idle machines that had not reported yet for stuck.
-TEST(ControllerTest, ANewLeaderWaitsForIdleMachinesToReport) {
+TEST(ControllerTest, ANewLeaderWaitsForHeartbeatsOfIdleMachines) {
     ControllerHarness s(1);
     auto w = machine_for(s, job(1));
     w.heartbeat.tasks.push_back(
