--- a/tests/sim/controller_harness.hpp
+++ b/tests/sim/controller_harness.hpp
@@ -1,5 +1,6 @@
-// One controller against the stand-ins of the state service and the cloud, in virtual time; the
-// test itself plays the workers, message by message. For what must not happen between two messages.
+/// \file
+/// One controller with a fake key-value store and a fake cloud, in virtual time. The test acts as
+/// the workers, message by message: for what must not happen between two messages.
 #pragma once
 
 #include <map>
@@ -17,57 +18,69 @@
 
 namespace dunebridge::sim {
 
-// A small job of the team that has no limit.
+/// A small job of the team without a quota; its identifier is made of the number.
 wire::JobSpec job(int n, std::uint32_t task_count = 1);
 
-// A worker as the test plays it: what its next report says.
+/// A worker as the test acts it out: the content of its next heartbeat.
 struct HarnessWorker {
     wire::WorkerHeartbeat heartbeat;
-    std::string next_heartbeat();  // its next report, packed
+    /// Increases the sequence number and encodes the heartbeat.
+    std::string next_heartbeat();
 };
 
+/// Runs the controller every 5 ms of virtual time. Requests block, in virtual time, until they are
+/// answered; direct commands wait for the test to answer them, or time out.
 class ControllerHarness {
   public:
     explicit ControllerHarness(std::size_t most_machines,
                                const config::Config& config = ControllerHarness::config());
 
+    /// Lets time pass.
     void run(Millis span);
-    // The controller stands still while the clock and the others go on.
+    /// The controller does nothing while the clock and the fakes go on.
     void stall_process(Millis span);
-    // A new incarnation of the controller, with nothing but what is on record.
+    /// Replaces the controller by a new incarnation, which knows only what is on record.
     void restart();
 
+    /// Sends a request to the front listener. Status 0: no answer within three seconds.
     sansio::HttpResponse request(const std::string& method, const std::string& target,
                                  const std::string& body);
+    /// Submits the job and returns the status.
     int submit(const wire::JobSpec& job);
-    std::string phase(const JobId& id);  // empty: no answer with one
-    // The answer to a check-in, and what it orders.
+    /// The phase that the controller reports for the job; empty if it reports none.
+    std::string phase(const JobId& id);
+    /// Sends an encoded heartbeat; returns the status and the commands of the response.
     std::pair<int, wire::CommandBatch> send_heartbeat(const std::string& report);
 
-    // DirectCommand commands that have no answer yet.
+    /// A command sent directly to a worker that has no answer yet.
     struct DirectCommand {
         CallId id;
         std::string endpoint;
         wire::CommandBatch commands;
     };
+    /// The direct commands without an answer, oldest first.
     const std::vector<DirectCommand>& commands_in_flight() const { return commands_in_flight_; }
+    /// Answers a direct command with a status and the worker's heartbeat.
     void answer(const DirectCommand& direct, int status, const std::string& report);
 
-    // Waits for the n-th machine to boot.
+    /// Waits up to a minute for the n-th machine to boot, and returns its worker.
     HarnessWorker machine(std::size_t n);
+    /// Whether the controller has asked the cloud to delete the machine.
     bool scaled_in(const MachineName& host) const { return scaled_in_.contains(host); }
+    /// Whether a log line contains the text.
     bool logged(const std::string& what) const { return logged_times(what) > 0; }
     std::size_t logged_times(const std::string& what) const;
-    // Hosts on which the job's tasks are on record.
+    /// The machines on which the job's tasks are on record.
     std::vector<std::string> recorded_hosts(const JobId& id) const;
     bool leads() const { return controller_->leads(); }
-    // While set, the controller's transactions that write get lost: nobody answers them.
+    /// While set, transactions that write are lost: they are neither carried out nor answered.
     void set_writes_lost(bool lost) { writes_lost_ = lost; }
     FakeKvStore& state() { return state_; }
     FakeCloud& cloud() { return cloud_; }
-    // Another node writes the key.
+    /// Writes the key as another controller would.
     void write(const std::string& key, const std::string& value);
 
+    /// The configuration used unless a test passes another one.
     static const config::Config& config();
 
   private:
@@ -90,13 +103,17 @@
     bool writes_lost_ = false;
 };
 
+/// The status of the task that the command has started.
 wire::TaskStatus running_status(const wire::TaskCommand& order);
-// The worker's first reports, after which it has seen the leader's token.
+/// Sends the worker's first two heartbeats, after which it has acknowledged the leader's fencing
+/// token.
 void acknowledge_token(ControllerHarness& s, HarnessWorker& w);
-// Waits for the n-th machine to boot and to have seen the leader's token.
+/// Waits for the n-th machine to boot and acknowledges the leader's fencing token.
 HarnessWorker ready_machine(ControllerHarness& s, std::size_t n);
-// The workers obey, and report every second; tasks run until the test ends them.
+/// Lets the workers execute all commands and send a heartbeat every second. Tasks run until the
+/// test finishes them.
 void run_workers(ControllerHarness& s, const std::vector<HarnessWorker*>& workers, int seconds);
+/// Marks the job's tasks on the worker as exited and done.
 void finish_task(HarnessWorker& w, const JobId& id);
 
 }  // namespace dunebridge::sim
--- a/tests/sim/expectations.hpp
+++ b/tests/sim/expectations.hpp
@@ -1,4 +1,5 @@
-// What is expected of a day in the simulation once it has been run.
+/// \file
+/// What tests expect of a simulated scenario after it has run.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -7,7 +8,7 @@
 
 namespace dunebridge::sim {
 
-// No rule is broken, every job is over, and more than so many tasks were started.
+/// No invariant is violated, every job is in a terminal phase, and more than so many tasks started.
 inline void expect_completed(const SimulatedCluster& cluster, std::size_t starts = 0) {
     EXPECT_TRUE(cluster.violated_invariants().empty()) << cluster.describe_violations();
     EXPECT_EQ(cluster.users().unfinished_jobs(), 0u) << cluster.users().describe_unfinished();
--- a/tests/sim/fake_cloud.cpp
+++ b/tests/sim/fake_cloud.cpp
@@ -14,7 +14,7 @@
       most_machines_(most_machines),
       list_lag_(list_lag),
       rng_(seed),
-      trouble_rng_(seed * 17 + 3),
+      fault_rng_(seed * 17 + 3),
       events_(std::move(events)) {}
 
 HttpResult FakeCloud::handle(const std::string& method, const std::string& target,
@@ -60,9 +60,9 @@
         }));
 }
 
-bool FakeCloud::boot_trouble_in(const std::string& zone) const {
-    return clock_.now() < boot_trouble_.until &&
-           (boot_trouble_.zone.empty() || boot_trouble_.zone == zone);
+bool FakeCloud::boot_fault_in(const std::string& zone) const {
+    return clock_.now() < boot_fault_.until &&
+           (boot_fault_.zone.empty() || boot_fault_.zone == zone);
 }
 
 HttpResult FakeCloud::rent(const std::string& body) {
@@ -84,12 +84,12 @@
         hosts.push_back(m.row.host);
         machines_[m.row.host] = m;
         bool never_up = rng_() % 20 == 0;
-        const bool trouble = boot_trouble_in(request.zone);
-        if (trouble) {
-            never_up = std::uniform_real_distribution<>(0, 1)(trouble_rng_) < boot_trouble_.never;
+        const bool boot_fault = boot_fault_in(request.zone);
+        if (boot_fault) {
+            never_up = std::uniform_real_distribution<>(0, 1)(fault_rng_) < boot_fault_.never;
         }
         if (never_up) continue;
-        const double factor = trouble ? boot_trouble_.factor : 1;
+        const double factor = boot_fault ? boot_fault_.factor : 1;
         const auto boot = from_seconds(type->startup_s * factor) * (60 + rng_() % 90) / 100;
         clock_.after(boot, [this, host = m.row.host] {
             auto& machine = machines_[host];
--- a/tests/sim/fake_kv_store.hpp
+++ b/tests/sim/fake_kv_store.hpp
@@ -1,4 +1,5 @@
-// A stand-in for the state service, written from the protocol page.
+/// \file
+/// A fake of the consensus-backed key-value store, written from its protocol page.
 #pragma once
 
 #include <functional>
@@ -13,22 +14,27 @@
 
 namespace dunebridge::sim {
 
+/// Keys with revisions, transactions with preconditions (compare-and-swap), leases and watches, in
+/// virtual time. It enforces rate and size limits as the real one does.
 class FakeKvStore {
   public:
     using Reply = std::function<void(sansio::HttpResult)>;
 
     explicit FakeKvStore(Clock& clock) : clock_(clock) {}
 
+    /// Carries out a request. The reply is called at once, or when a watch has news or times out.
     void handle(const std::string& method, const std::string& target, const std::string& body,
                 Reply reply);
+    /// While set, every request gets status 503 and no lease expires.
     void set_outage(bool outage);
-    // Watches wait on, whatever changes.
+    /// While set, watches report no change.
     void set_watches_stalled(bool stalled) { watches_stalled_ = stalled; }
-    // The packed value of a key, empty if there is none.
+    /// The encoded value of a key; empty if there is none.
     std::string value(const std::string& key) const;
-    // The packed values of all keys with the prefix.
+    /// The encoded values of all keys with the prefix.
     std::map<std::string, std::string> values(const std::string& prefix) const;
-    // The service's limits, enforced as the page says; what went over them is kept in refusals().
+    /// The limits: requests and written keys a second (429 above), operations of a transaction and
+    /// size of a value (400 above), rows of a page.
     struct Limits {
         double rps = 200;
         double write_rps = 80;
@@ -37,10 +43,12 @@
         std::size_t page = 20;
     };
     void set_limits(const Limits& limits) { limits_ = limits; }
+    /// Keys written or removed so far.
     std::uint64_t changes() const { return changes_made_; }
     std::uint64_t requests() const { return requests_; }
-    std::uint64_t refusals() const { return refusals_; }      // 429
-    std::uint64_t violations() const { return violations_; }  // over a size limit
+    std::uint64_t refusals() const { return refusals_; }      ///< Of status 429.
+    std::uint64_t violations() const { return violations_; }  ///< Requests over a size limit.
+    /// The most keys written or removed within any one second.
     double most_changes_in_a_second() const { return most_in_a_second_; }
 
   private:
--- a/tests/sim/fake_worker.hpp
+++ b/tests/sim/fake_worker.hpp
@@ -1,4 +1,5 @@
-// A stand-in for one machine's worker, written from the protocol page.
+/// \file
+/// A fake of one machine's worker agent, written from its protocol page.
 #pragma once
 
 #include <functional>
@@ -14,45 +15,54 @@
 
 namespace dunebridge::sim {
 
+/// One attempt of a task on the machine.
 struct WorkerTask {
     Attempt attempt;
     wire::TaskPhase phase = wire::TaskPhase::fetching;
     wire::ExitReason reason = wire::ExitReason::none;
-    Instant next{};  // when the present phase ends
+    Instant next{};  ///< When the current phase ends.
 };
 
-// What the worker asks of the world around it.
+/// What a worker needs of the simulation around it.
 class WorkerHost {
   public:
     virtual ~WorkerHost() = default;
-    // The job's description, or null if it was never submitted.
+    /// The job's description, or null if it was never submitted.
     virtual const wire::JobSpec* description(const JobId& id) = 0;
+    /// How long the task runs on this attempt; may draw a random number.
     virtual Millis run_time(const TaskRef& task) = 0;
-    // The task's job was submitted with a mistake.
+    /// Whether the task fails on every machine.
     virtual bool fails(const TaskRef& task) = 0;
+    /// The worker has started or completed a task.
     virtual void task_started(const MachineName& host, const TaskRef& task) = 0;
     virtual void task_completed(const TaskRef& task) = 0;
-    // Sends a report to a node; the answer comes back through heartbeat_answered().
+    /// Sends a heartbeat to a controller; the response comes back through heartbeat_answered().
     virtual void send_heartbeat(const MachineName& host, std::size_t node,
                                 const std::string& body) = 0;
     virtual std::size_t node_count() const = 0;
-    virtual std::size_t node_named(const std::string& name) const = 0;  // or node_count()
+    virtual std::size_t node_named(const std::string& name) const = 0;  ///< Or node_count().
 };
 
+/// Runs tasks, sends heartbeats, follows redirects to the leader, and kills its tasks when its
+/// lease expires. Its decisions are drawn from a seed.
 class FakeWorker {
   public:
     FakeWorker(Clock& clock, WorkerHost& world, const config::Config& config,
                const wire::MachineType& type, MachineName host, std::string zone, bool spot,
                std::uint64_t seed);
 
+    /// Begins to send heartbeats.
     void start();
+    /// The machine is gone: nothing runs on it and nothing is sent.
     void stop() { gone_ = true; }
+    /// The process does nothing for the span; its lease expires all the same.
     void hang(Millis for_);
     void set_notice(Instant at) { taken_at_ = at; }
     void set_faulty(bool faulty) { faulty_ = faulty; }
 
-    // Null: no answer, or not in time.
+    /// The response to the heartbeat with that sequence number; null: none in time.
     void heartbeat_answered(std::uint64_t sequence, const sansio::HttpResult* reply);
+    /// Executes a direct command batch; the response holds a heartbeat.
     sansio::HttpResult commands(const std::string& body);
     bool hanging() const { return clock_.now() < hang_until_; }
     Instant hang_until() const { return hang_until_; }
@@ -66,9 +76,9 @@
     bool spot() const { return spot_; }
     double cores() const { return type_.cores; }
     std::string endpoint() const { return "worker:" + host_.get(); }
-    // Tasks that are on the machine: neither exited nor killed. Ends leases that are over.
+    /// Tasks on the machine that have neither exited nor been killed by a lease expiry.
     std::set<TaskRef> present();
-    // How many of the job's tasks are on the machine, the named one aside.
+    /// How many of the job's tasks are on the machine, apart from the given one.
     std::uint32_t present_of(const JobId& job, const TaskRef& aside);
     bool has(const TaskRef& task);
     Attempt attempt(const TaskRef& task) const { return tasks_.at(task).attempt; }
--- a/tests/sim/large_fleet_scenario.hpp
+++ b/tests/sim/large_fleet_scenario.hpp
@@ -1,5 +1,6 @@
-// A day of a fleet of thousands of machines: all come up, the leader ends, and then all controllers
-// are silent for less than a lease.
+/// \file
+/// A scenario of a fleet of thousands of machines: all boot, the leader crashes, and then all
+/// controllers are down for less than a lease.
 #pragma once
 
 #include <algorithm>
@@ -8,6 +9,7 @@
 
 namespace dunebridge::sim {
 
+/// Options for a fleet of that size.
 inline ScenarioOptions large_fleet_options(std::size_t machines) {
     ScenarioOptions options;
     options.seed = 21;
@@ -20,11 +22,13 @@
     return options;
 }
 
+/// What was measured before the drain time.
 struct LargeFleetResult {
     std::size_t most_up = 0;
     std::size_t killed_by_lease = 0;
 };
 
+/// Runs the scenario to its end.
 inline LargeFleetResult run_large_fleet_scenario(SimulatedCluster& cluster) {
     LargeFleetResult result;
     const auto run_for = [&](int seconds) {
--- a/tests/sim/random_scenarios.hpp
+++ b/tests/sim/random_scenarios.hpp
@@ -1,10 +1,12 @@
-// Days of twos and threes of all troubles, drawn by a seed.
+/// \file
+/// Scenarios of concurrent random faults, drawn by a seed.
 #pragma once
 
 #include "sim/simulated_cluster.hpp"
 
 namespace dunebridge::sim {
 
+/// Options drawn by the seed.
 inline ScenarioOptions random_scenario_options(std::uint64_t seed) {
     ScenarioOptions options;
     options.seed = seed;
@@ -18,6 +20,7 @@
     return options;
 }
 
+/// Injects two or three faults at a time, every 15 s, and runs to the end.
 inline void run_random_scenario(SimulatedCluster& cluster, std::uint64_t seed) {
     for (int round = 0; round < 7; ++round) {
         cluster.run_for(Millis(15000));
@@ -29,7 +32,7 @@
     cluster.run();
 }
 
-// Days that join the troubles of bad nights with all others.
+/// Options of scenarios with compound faults: boot faults, crashes, stalls and poll storms as well.
 inline ScenarioOptions random_compound_options(std::uint64_t seed) {
     auto options = random_scenario_options(seed);
     options.faults_s = 200;
@@ -39,6 +42,7 @@
     return options;
 }
 
+/// Combines compound faults with all others, and runs to the end.
 inline void run_random_compound_scenario(SimulatedCluster& cluster) {
     constexpr int rounds = 7;
     for (int round = 0; round < rounds; ++round) {
