--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -10,6 +10,7 @@
 using kv::job_key;
 using kv::terminal_key;
 using kv::TransactionOutcome;
+using sansio::RefusalReason;
 using wire::JobPhase;
 using wire::JobStatus;
 
@@ -21,7 +22,6 @@
 // the others'.
 constexpr Millis kGiveUp{1500};
 // Those that are sent away together come back spread over so many seconds.
-constexpr int kRetryAfter_s = 1;
 constexpr std::uint64_t kRetrySpread_s = 3;
 // A node's share of the writes; the leader's ledger has the larger part
 // (core/ledger_committer.cpp).
@@ -80,7 +80,7 @@
 // ---- answers ----
 
 void JobService::answer_end(const PendingRequest& pending, const JobStatus& end) {
-    context_.answer(pending.request, 200, wire::encode(end));
+    context_.respond(pending.request, 200, wire::encode(end));
 }
 
 // No answer shows a cancellation that this node's log does not hold yet.
@@ -100,12 +100,12 @@
     const auto progress = progress_source_(pending.job);
     const auto phase = progress.running > 0 ? JobPhase::running : JobPhase::pending;
     const JobStatus status{pending.job, phase, progress.done, progress.running};
-    context_.answer(pending.request, 200, wire::encode(status));
+    context_.respond(pending.request, 200, wire::encode(status));
 }
 
 void JobService::answer_unavailable(const PendingRequest& pending) {
-    const auto spread = static_cast<int>(context_.random() % kRetrySpread_s);
-    context_.answer(pending.request, 503, wire::encode_error("try again"), kRetryAfter_s + spread);
+    const auto spread = std::chrono::seconds(context_.random() % kRetrySpread_s);
+    context_.refuse(pending.request, RefusalReason::try_again, spread);
 }
 
 bool JobService::answer_if_ended(const PendingRequest& pending) {
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -57,7 +57,7 @@
 
     // Submissions.
     bool decode_submission(PendingRequest& pending, wire::Value body);
-    void refuse(PendingRequest pending, Refusal refusal);
+    void refuse(PendingRequest pending, sansio::Refusal refusal);
     void submit_dependent(PendingRequest pending);
     void look_up_dependencies(PendingRequest pending);
     void prepare(PendingRequest pending);
--- a/src/api/linearizable_reads.cpp
+++ b/src/api/linearizable_reads.cpp
@@ -9,6 +9,7 @@
 using kv::job_key;
 using kv::terminal_key;
 using kv::TransactionOutcome;
+using sansio::RefusalReason;
 
 // Returns whether the request now waits for a check of its job's ancestors.
 bool JobService::check_ancestors_first(PendingRequest& pending) {
@@ -73,10 +74,9 @@
     if (known && known->record != KeyRevision()) {
         answer_open(pending);
     } else if (pending.intent == Intent::refuse) {
-        context_.answer(pending.request, pending.refusal.status,
-                        wire::encode_error(pending.refusal.reason));
+        context_.refuse(pending.request, *pending.refusal);
     } else {
-        context_.answer(pending.request, 404, wire::encode_error("no such job"));
+        context_.refuse(pending.request, RefusalReason::no_such_job);
     }
 }
 
--- a/src/api/pending_request.hpp
+++ b/src/api/pending_request.hpp
@@ -2,11 +2,13 @@
 #pragma once
 
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <vector>
 
 #include "base/types.hpp"
 #include "kv/records.hpp"
+#include "sansio/refusal.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::api {
@@ -18,12 +20,6 @@
     refuse  // a submission that is refused unless its job is known already
 };
 
-// Why a submission is refused, and the HTTP status that says so.
-struct Refusal {
-    int status = 0;
-    std::string reason;
-};
-
 // What a submission is to write once all that it needs to know has been read.
 struct Submission {
     kv::JobRecord record;
@@ -37,8 +33,8 @@
     RequestId request;
     JobId job;
     Intent intent = Intent::poll;
-    Refusal refusal;        // of Intent::refuse
-    Submission submission;  // of Intent::submit
+    std::optional<sansio::Refusal> refusal;  // of Intent::refuse
+    Submission submission;                   // of Intent::submit
     // That none of the jobs before it has ended was found out apart from the transaction that
     // confirms the answer, as they are too many for it.
     bool ancestors_checked = false;
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -11,6 +11,7 @@
 using kv::job_key;
 using kv::terminal_key;
 using kv::TransactionOutcome;
+using sansio::RefusalReason;
 using wire::JobPhase;
 using wire::JobStatus;
 
@@ -23,15 +24,18 @@
     const auto document = wire::Document::parse(body);
     const auto id = document ? wire::peek_job_id(document->root()) : std::nullopt;
     if (!document || !id) {
-        context_.answer(request, 400, wire::encode_error("malformed"));
+        context_.refuse(request, RefusalReason::malformed);
         return;
     }
     auto pending = new_request(request, *id, Intent::submit);
     if (answer_if_ended(pending)) return;
     if (!decode_submission(pending, document->root())) {
-        auto refusal = pending.refusal;
-        refusal.status == 0 ? answer_unavailable(pending)
-                            : refuse(std::move(pending), std::move(refusal));
+        if (pending.refusal) {
+            auto refusal = *pending.refusal;
+            refuse(std::move(pending), std::move(refusal));
+        } else {
+            answer_unavailable(pending);
+        }
     } else if (pending.submission.record.spec.waits_on.empty()) {
         prepare(std::move(pending));
     } else {
@@ -45,16 +49,16 @@
         auto spec = wire::decode_job(body);
         if (types_.empty()) return false;
         const auto why = why_never_runs(spec, config_, types_);
-        if (!why.empty()) pending.refusal = {422, why};
+        if (!why.empty()) pending.refusal.emplace(RefusalReason::never_runnable, why);
         pending.submission.record.spec = std::move(spec);
     } catch (const wire::DecodeError& e) {
-        pending.refusal = {400, e.what()};
+        pending.refusal.emplace(RefusalReason::malformed, e.what());
     }
-    return pending.refusal.status == 0;
+    return !pending.refusal;
 }
 
 // A known id is answered with its state, whatever the submission carries; else this is the answer.
-void JobService::refuse(PendingRequest pending, Refusal refusal) {
+void JobService::refuse(PendingRequest pending, sansio::Refusal refusal) {
     pending.intent = Intent::refuse;
     pending.refusal = std::move(refusal);
     enqueue(std::move(pending));
@@ -82,24 +86,24 @@
 void JobService::look_up_dependencies(PendingRequest pending) {
     const auto& dependencies = pending.submission.record.spec.waits_on;
     if (std::find(dependencies.begin(), dependencies.end(), pending.job) != dependencies.end()) {
-        refuse(std::move(pending), {422, "it waits on itself"});
+        refuse(std::move(pending), {RefusalReason::never_runnable, "it waits on itself"});
         return;
     }
     const auto list = dependencies;  // `pending` is moved from
     const auto deadline = pending.since + kLookupTimeout;
-    lookup_.start(
-        list, deadline,
-        [this, pending = std::move(pending)](const DependencyResult& found) mutable {
-            if (found.outcome == DependencyResult::Outcome::unavailable) {
-                answer_unavailable(pending);
-            } else if (found.outcome == DependencyResult::Outcome::never_accepted) {
-                refuse(std::move(pending), {422, "it waits on a job that was never accepted"});
-            } else {
-                pending.submission.record.ancestors = found.ancestors;
-                pending.submission.cancelled = found.any_cancelled;
-                prepare(std::move(pending));
-            }
-        });
+    lookup_.start(list, deadline,
+                  [this, pending = std::move(pending)](const DependencyResult& found) mutable {
+                      if (found.outcome == DependencyResult::Outcome::unavailable) {
+                          answer_unavailable(pending);
+                      } else if (found.outcome == DependencyResult::Outcome::never_accepted) {
+                          refuse(std::move(pending), {RefusalReason::never_runnable,
+                                                      "it waits on a job that was never accepted"});
+                      } else {
+                          pending.submission.record.ancestors = found.ancestors;
+                          pending.submission.cancelled = found.any_cancelled;
+                          prepare(std::move(pending));
+                      }
+                  });
 }
 
 // ---- records ----
@@ -110,10 +114,12 @@
             enqueue(std::move(pending));
             break;
         case Preparation::too_large:
-            refuse(std::move(pending), {422, "its description is larger than can be kept"});
+            refuse(std::move(pending),
+                   {RefusalReason::never_runnable, "its description is larger than can be kept"});
             break;
         case Preparation::too_many_jobs:
-            refuse(std::move(pending), {422, "it waits on more jobs than can be kept"});
+            refuse(std::move(pending),
+                   {RefusalReason::never_runnable, "it waits on more jobs than can be kept"});
             break;
         case Preparation::later:
             answer_unavailable(pending);
@@ -179,7 +185,7 @@
         cache_.set_record(pending.job, rev);
         cache_.set_ancestors(pending.job, pending.submission.record.ancestors);
     }
-    context_.answer(pending.request, 201, wire::encode(status));
+    context_.respond(pending.request, 201, wire::encode(status));
 }
 
 void JobService::jobs_created(std::vector<PendingRequest> batch,
--- a/src/app/runtime.cpp
+++ b/src/app/runtime.cpp
@@ -123,11 +123,13 @@
 // What was decided before a stand-still is not acted on: nothing is sent, and nothing answered as
 // by one entitled to.
 void Runtime::release(sansio::Effects&& effects) {
-    for (auto& answer : effects.answers) {
-        answer = {answer.id, 503, wire::encode_error("stood still"), 1};
+    for (auto& answer : effects.responses) {
+        const sansio::Refusal refusal(sansio::RefusalReason::event_loop_stalled);
+        answer = {answer.id, refusal.http_status(), wire::encode_error(refusal.text()),
+                  refusal.retry_after()};
     }
     for (const auto& c : effects.calls)
-        post(controller::CallCompleted{c.id, {sansio::HttpResult::kNotSent, {}}});
+        post(controller::CallCompleted{c.id, sansio::HttpResult(sansio::CallOutcome::not_sent)});
     effects.calls.clear();
     carry_out(std::move(effects));
 }
@@ -136,7 +138,7 @@
     for (const auto& line : effects.logs) {
         spdlog::log(to_spdlog(line.level), "node={} {}", config_.name.get(), line.text);
     }
-    for (auto& answer : effects.answers) {
+    for (auto& answer : effects.responses) {
         auto& server = answer.id.get() >= kBackIds ? *back_ : *front_;
         server.answer(std::move(answer));
     }
@@ -147,7 +149,7 @@
 asio::awaitable<void> Runtime::call(sansio::HttpCall c, Instant decided) {
     // The process may have stood still since: what it decided as the leader is not sent any more.
     if (now() - decided >= config_.tuning.leader_lease) {
-        post(controller::CallCompleted{c.id, {sansio::HttpResult::kNotSent, {}}});
+        post(controller::CallCompleted{c.id, sansio::HttpResult(sansio::CallOutcome::not_sent)});
         co_return;
     }
     std::string address = c.endpoint;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -6,6 +6,8 @@
 
 namespace dunebridge::controller {
 
+using sansio::RefusalReason;
+
 namespace {
 constexpr Millis kTick{100};
 constexpr Millis kScheduleEvery{50};
@@ -127,7 +129,7 @@
 
 void Controller::handle(Request&& request) {
     if (request.too_large) {
-        context_.answer(request.id, 400, wire::encode_error("body too large"));
+        context_.refuse(request.id, RefusalReason::body_too_large);
         return;
     }
     if (request.plane == Listener::back) {
@@ -138,7 +140,7 @@
     constexpr std::string_view jobs = "/v1/jobs";
     const auto only = [&](std::string_view method) {
         if (request.method == method) return true;
-        context_.answer(request.id, 405, wire::encode_error("method not allowed"));
+        context_.refuse(request.id, RefusalReason::method_not_allowed);
         return false;
     };
     if (path == "/ready") {
@@ -150,7 +152,7 @@
     } else if (path.starts_with(jobs) && path[jobs.size()] == '/') {
         handle_job(request, path.substr(jobs.size() + 1));
     } else {
-        context_.answer(request.id, 404, wire::encode_error("no such path"));
+        context_.refuse(request.id, RefusalReason::no_such_path);
     }
 }
 
@@ -159,12 +161,12 @@
     const auto id = rest.substr(0, slash);
     const bool abort = slash != std::string::npos && rest.substr(slash) == "/abort";
     if (slash != std::string::npos && !abort) {
-        context_.answer(request.id, 404, wire::encode_error("no such path"));
+        context_.refuse(request.id, RefusalReason::no_such_path);
     } else if (request.method != (abort ? "POST" : "GET")) {
-        context_.answer(request.id, 405, wire::encode_error("method not allowed"));
+        context_.refuse(request.id, RefusalReason::method_not_allowed);
     } else if (!wire::valid_job_id(id)) {
         // No job can have such an id.
-        context_.answer(request.id, 404, wire::encode_error("no such job"));
+        context_.refuse(request.id, RefusalReason::no_such_job);
     } else if (abort) {
         jobs_.cancel(request.id, JobId(id));
     } else {
@@ -178,23 +180,23 @@
         return;
     }
     if (request.method != "POST" || request.target != "/hello") {
-        context_.answer(request.id, 404, wire::encode_error("no such path"));
+        context_.refuse(request.id, RefusalReason::no_such_path);
         return;
     }
     try {
         const auto doc = wire::Document::need(request.body);
         peer_monitor_.record_heartbeat(coordination::decode_peer_heartbeat(doc.root()));
-        context_.answer(request.id, 200, coordination::encode(heartbeat()));
+        context_.respond(request.id, 200, coordination::encode(heartbeat()));
     } catch (const wire::DecodeError& e) {
         context_.log(sansio::LogLevel::error, "event=invalid_peer_heartbeat error=\"{}\"",
                      e.what());
-        context_.answer(request.id, 400, wire::encode_error(e.what()));
+        context_.refuse(request.id, {RefusalReason::malformed, e.what()});
     }
 }
 
 void Controller::handle_worker_heartbeat(const Request& request) {
     if (!leads() && request.plane == Listener::back) {
-        context_.answer(request.id, 503, wire::encode_error("not the leader"), 1);
+        context_.refuse(request.id, RefusalReason::not_the_leader);
         return;
     }
     try {
@@ -204,13 +206,13 @@
             if (leadership_guard_.may_renew_leases(follower_.terminal_records_read_at())) {
                 workers_.handle_heartbeat(request.id, heartbeat);
             } else {
-                context_.answer(request.id, 503, wire::encode_error("cancellations not known"), 1);
+                context_.refuse(request.id, RefusalReason::cancellations_unknown);
             }
             return;
         }
         heartbeat_relay_.handle(request.id, request.body, doc.root());
     } catch (const wire::DecodeError& e) {
-        context_.answer(request.id, 400, wire::encode_error(e.what()));
+        context_.refuse(request.id, {RefusalReason::malformed, e.what()});
     }
 }
 
@@ -277,8 +279,8 @@
 }
 
 void Controller::handle_readiness(const Request& request) {
-    ready() ? context_.answer(request.id, 200, wire::Writer().map(0).take())
-            : context_.answer(request.id, 503, wire::encode_error("not ready"), 1);
+    ready() ? context_.respond(request.id, 200, wire::Writer().map(0).take())
+            : context_.refuse(request.id, RefusalReason::not_ready);
 }
 
 // In an outage of the state service every node is as good as any other and says so: going away
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -4,12 +4,13 @@
 
 namespace dunebridge::controller {
 
+using sansio::RefusalReason;
+
 namespace {
 constexpr Millis kForgetEvery{5000};
 // For so long after its first redirection a worker that comes back is relayed.
 constexpr Millis kRelayFor{30000};
 constexpr Millis kRelayTimeout{2500};
-constexpr int kRetryAfter_s = 1;
 }  // namespace
 
 HeartbeatRelay::HeartbeatRelay(sansio::Context& port, const config::Config& config,
@@ -43,11 +44,11 @@
 
 void HeartbeatRelay::redirect(RequestId id, const ControllerName& leader) {
     if (election_.is_leader()) {  // its ledger is still being read
-        context_.answer(id, 503, wire::encode_error("starting"), kRetryAfter_s);
+        context_.refuse(id, RefusalReason::leader_loading);
     } else if (leader.get().empty()) {
-        context_.answer(id, 503, wire::encode_error("no leader"), kRetryAfter_s);
+        context_.refuse(id, RefusalReason::no_leader);
     } else {
-        context_.answer(id, 421, wire::encode_redirect(leader.get()));
+        context_.respond(id, 421, wire::encode_redirect(leader.get()));
     }
 }
 
@@ -65,11 +66,10 @@
                            const config::PeerAddress& leader) {
     context_.call(sansio::Destination::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
                   [this, id](const sansio::HttpResult& reply) {
-                      if (reply.status == 200) {
-                          context_.answer(id, 200, reply.body);
+                      if (reply.ok()) {
+                          context_.respond(id, 200, reply.body);
                       } else {
-                          context_.answer(id, 503, wire::encode_error("leader not reached"),
-                                          kRetryAfter_s);
+                          context_.refuse(id, RefusalReason::leader_unreachable);
                       }
                   });
 }
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -54,7 +54,7 @@
     context_.call(sansio::Destination::peer, node.back, "POST", "/hello", heartbeat, timeout,
                   [this, name = node.name, asked = context_.now(),
                    then = std::move(then)](const sansio::HttpResult& reply) {
-                      if (reply.status == 200) answered(name, reply, asked);
+                      if (reply.ok()) answered(name, reply, asked);
                       then();
                   });
 }
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -29,6 +29,8 @@
 }
 
 TransactionOutcome outcome_of(const HttpResult& reply, wire::Value body) {
+    if (reply.outcome == sansio::CallOutcome::no_response) return TransactionOutcome::unknown;
+    if (reply.not_sent()) return TransactionOutcome::refused;
     switch (reply.status) {
         case 200:
             return TransactionOutcome::ok;
@@ -37,7 +39,6 @@
         case 400:
             return body["error"].text() == "no such lease" ? TransactionOutcome::lease_expired
                                                            : TransactionOutcome::malformed;
-        case HttpResult::kNoResponse:
         case 500:
         case 504:
             return TransactionOutcome::unknown;
@@ -61,7 +62,7 @@
 
 GetResult read_row(const std::string& key, const HttpResult& reply) {
     if (reply.status == 404) return {true, std::nullopt};
-    auto doc = reply.status == 200 ? Document::parse(reply.body) : std::nullopt;
+    auto doc = reply.ok() ? Document::parse(reply.body) : std::nullopt;
     if (!doc) return {};
     const auto document = std::make_shared<Document>(std::move(*doc));
     const auto root = document->root();
@@ -80,7 +81,7 @@
 WatchResult read_changes(const HttpResult& reply) {
     WatchResult result;
     if (reply.status == 410) result.kind = WatchResult::Kind::compacted;
-    auto doc = reply.status == 200 ? Document::parse(reply.body) : std::nullopt;
+    auto doc = reply.ok() ? Document::parse(reply.body) : std::nullopt;
     if (!doc) return result;
     result.document = std::make_shared<Document>(std::move(*doc));
     const auto root = result.document->root();
@@ -96,7 +97,7 @@
 }
 
 LeaseRenewal read_renewal(const HttpResult& reply) {
-    if (reply.status == 200) return LeaseRenewal::renewed;
+    if (reply.ok()) return LeaseRenewal::renewed;
     return reply.status == 404 ? LeaseRenewal::expired : LeaseRenewal::unknown;
 }
 }  // namespace
@@ -206,7 +207,7 @@
 }
 
 void KvClient::take_page(const std::shared_ptr<ManyRead>& read, const HttpResult& reply) {
-    auto page = reply.status == 200 ? Document::parse(reply.body) : std::nullopt;
+    auto page = reply.ok() ? Document::parse(reply.body) : std::nullopt;
     if (!page || !page->root()["rows"].is_list()) {
         read->then(MultiGetResult{});
         return;
@@ -247,7 +248,7 @@
                      [this, prefix, from, so_far, then] { list_page(prefix, from, so_far, then); });
                  return;
              }
-             auto doc = reply.status == 200 ? Document::parse(reply.body) : std::nullopt;
+             auto doc = reply.ok() ? Document::parse(reply.body) : std::nullopt;
              if (!doc || !doc->root()["rows"].is_list()) {
                  then(ListResult{});
                  return;
@@ -282,7 +283,7 @@
          wire::Writer().map(1).text("ttl_ms").count(static_cast<std::uint64_t>(ttl.count())).take(),
          kLeaseTimeout, [then = std::move(then)](const HttpResult& reply) {
              std::optional<LeaseId> lease;
-             if (reply.status == 200) {
+             if (reply.ok()) {
                  const auto doc = Document::parse(reply.body);
                  if (const auto id = doc ? doc->root()["tenancy"].count() : std::nullopt) {
                      lease = LeaseId(*id);
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -115,7 +115,7 @@
                                                      Millis timeout) {
     auto connection = take_idle(address);
     if (!connection) connection = new_connection();
-    if (!connection) co_return sansio::HttpResult{sansio::HttpResult::kNotSent, {}};
+    if (!connection) co_return sansio::HttpResult(sansio::CallOutcome::not_sent);
     connection->sent = false;
     set_deadline(connection, timeout);
     sansio::HttpResult reply;
@@ -124,8 +124,8 @@
                                   std::move(body));
     } catch (const std::exception&) {
         connection->close();
-        reply = {connection->sent ? sansio::HttpResult::kNoResponse : sansio::HttpResult::kNotSent,
-                 {}};
+        reply = sansio::HttpResult(connection->sent ? sansio::CallOutcome::no_response
+                                                    : sansio::CallOutcome::not_sent);
     }
     connection->deadline.expires_at(std::chrono::steady_clock::time_point::max());
     if (connection->socket.is_open()) keep(std::move(address), std::move(connection));
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -209,8 +209,8 @@
     response.version(version);
     response.result(static_cast<unsigned>(answer.status));
     response.set(http::field::content_type, "application/msgpack");
-    if (answer.retry_after_s > 0) {
-        response.set(http::field::retry_after, std::to_string(answer.retry_after_s));
+    if (answer.retry_after.count() > 0) {
+        response.set(http::field::retry_after, std::to_string(answer.retry_after.count()));
     }
     response.body() = std::move(answer.body);
     response.keep_alive(keep);
--- a/src/provisioning/cloud_client.cpp
+++ b/src/provisioning/cloud_client.cpp
@@ -20,7 +20,7 @@
 template <class Decode>
 auto read_reply(sansio::Context& port, const HttpResult& reply, const char* bad_event,
                 Decode decode) -> std::optional<std::invoke_result_t<Decode, wire::Value>> {
-    if (reply.status != 200) return std::nullopt;
+    if (!reply.ok()) return std::nullopt;
     try {
         const auto doc = wire::Document::need(reply.body);
         return decode(doc.root());
@@ -69,7 +69,7 @@
 
 ScaleOutResult CloudClient::read_rental(const HttpResult& reply) {
     using Outcome = ScaleOutResult::Outcome;
-    if (reply.status == 200) {
+    if (reply.ok()) {
         auto hosts = read_reply(context_, reply, "invalid_scale_out_response", wire::decode_hosts);
         // Machines that a bad answer does not name are found by their reports and the list.
         return {Outcome::granted, hosts ? std::move(*hosts) : std::vector<MachineName>()};
@@ -85,7 +85,7 @@
                                   std::function<void(bool)> then) {
     context_.call(Destination::cloud, {}, "POST", "/rentals/delete", wire::encode_hosts(hosts),
                   kTimeout,
-                  [then = std::move(then)](const HttpResult& reply) { then(reply.status == 200); });
+                  [then = std::move(then)](const HttpResult& reply) { then(reply.ok()); });
 }
 
 }  // namespace dunebridge::provisioning
--- a/src/sansio/context.hpp
+++ b/src/sansio/context.hpp
@@ -1,144 +1,78 @@
-// The core's interface to the outside: the time and random numbers that it is given, calls and
-// answers that it asks for. The I/O layer (or a test) carries the effects out.
+/// \file
+/// The controller's interface to the outside world: the time and the random numbers that it is
+/// given, and the calls, responses and log lines that it asks for.
 #pragma once
 
 #include <fmt/format.h>
 
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <random>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <utility>
-#include <vector>
 
 #include "base/types.hpp"
+#include "sansio/effects.hpp"
+#include "sansio/refusal.hpp"
+#include "sansio/timers.hpp"
 
 namespace dunebridge::sansio {
 
-enum class Destination : std::uint8_t { state, cloud, worker, peer };
-enum class LogLevel : std::uint8_t { error, info, debug };
-
-struct HttpCall {
-    CallId id;
-    Destination service = Destination::state;
-    std::string endpoint;  // workers and peers; the others have one address each
-    std::string method;
-    std::string target;
-    std::string body;
-    Millis timeout{1000};
-};
-
-// What came of a call.
-struct HttpResult {
-    // Instead of a status of HTTP. Without an answer the request may have been carried out, or may
-    // yet be; one that was not sent certainly has not and will not.
-    static constexpr int kNoResponse = 0;
-    static constexpr int kNotSent = -1;
-
-    int status = kNoResponse;
-    std::string body;
-
-    bool answered() const { return status > 0; }
-    bool unsent() const { return status == kNotSent; }
-};
-
-struct HttpResponse {
-    RequestId id;
-    int status = 200;
-    std::string body;
-    int retry_after_s = 0;
-};
-
-struct LogRecord {
-    LogLevel level = LogLevel::info;
-    std::string text;
-};
-
-struct Effects {
-    std::vector<HttpCall> calls;
-    std::vector<HttpResponse> answers;
-    std::vector<LogRecord> logs;
-};
-
+/// One controller's context, shared by all of its parts. It collects effects in memory; nothing is
+/// carried out before Controller::apply() returns them. Not thread-safe: one thread owns it.
 class Context {
   public:
+    /// Called once with the result of a call, never from within call().
     using Continuation = std::function<void(const HttpResult&)>;
 
     Context(std::uint64_t seed, LogLevel level) : rng_(seed), level_(level) {}
 
-    void advance_clock(Instant now, std::int64_t wall_ms) {
-        now_ = now;
-        wall_ms_ = wall_ms;
-    }
+    /// Sets the time of the step that begins.
+    void advance_clock(Instant now, std::int64_t wall_ms);
     Instant now() const { return now_; }
+    /// Milliseconds since the epoch. Only for records and comparison with others' clocks.
     std::int64_t wall_ms() const { return wall_ms_; }
 
     std::uint64_t random() { return rng_(); }
-    Millis jitter(Millis most) {
-        return Millis(std::uniform_int_distribution<std::int64_t>(0, most.count())(rng_));
-    }
+    /// A delay drawn evenly from zero to that, both included.
+    Millis jitter(Millis most);
 
+    /// Asks for a call. `then` is run with its result, within a later complete().
     void call(Destination service, std::string endpoint, std::string method, std::string target,
-              std::string body, Millis timeout, Continuation then) {
-        const CallId id(++last_call_);
-        pending_.emplace(id, std::move(then));
-        effects_.calls.push_back({id, service, std::move(endpoint), std::move(method),
-                                  std::move(target), std::move(body), timeout});
-    }
-    void complete(CallId id, const HttpResult& reply) {
-        const auto it = pending_.find(id);
-        if (it == pending_.end()) return;
-        const auto then = std::move(it->second);
-        pending_.erase(it);
-        then(reply);
-    }
+              std::string body, Millis timeout, Continuation then);
+    /// Hands the result of a call to its continuation; a second result is ignored.
+    void complete(CallId id, const HttpResult& result);
 
-    void answer(RequestId id, int status, std::string body, int retry_after_s = 0) {
-        effects_.answers.push_back({id, status, std::move(body), retry_after_s});
-    }
+    /// Responds to a request. Each request is to be responded to once.
+    void respond(RequestId id, int status, std::string body);
+    /// Responds with a refusal; `extra_delay` is added to its Retry-After.
+    void refuse(RequestId id, const Refusal& refusal, std::chrono::seconds extra_delay = {});
 
+    /// Adds a line to the log. Errors with the same format are limited in rate.
     template <class... Args>
     void log(LogLevel level, fmt::format_string<Args...> format, Args&&... args) {
-        if (level > level_ || (level == LogLevel::error && !within_rate(format))) return;
+        if (!may_log(level, format)) return;
         effects_.logs.push_back({level, fmt::format(format, std::forward<Args>(args)...)});
     }
 
-    // Runs something once, not before the delay is over.
-    void after(Millis delay, std::function<void()> then) {
-        timers_.emplace(now_ + delay, std::move(then));
-    }
-    void run_timers() {
-        while (!timers_.empty() && timers_.begin()->first <= now_) {
-            const auto then = std::move(timers_.begin()->second);
-            timers_.erase(timers_.begin());
-            then();
-        }
-        if (!timers_.empty()) request_wake(timers_.begin()->first);
-    }
+    /// Runs something once, not before the delay is over.
+    void after(Millis delay, std::function<void()> then);
+    /// Runs the timers that are due and asks to be woken for the next.
+    void run_timers();
 
-    // The earliest moment at which the core wants to be run again.
-    void request_wake(Instant t) { wake_ = std::min(wake_, t); }
+    /// Asks for a step at that moment at the latest.
+    void request_wake(Instant at);
+    /// The earliest moment at which a step was asked for.
     Instant wake() const { return wake_; }
     void clear_wake_time() { wake_ = Instant::max(); }
 
+    /// The effects since the last call, which are handed over.
     Effects take() { return std::exchange(effects_, {}); }
 
   private:
-    // Whoever sends malformed messages must not fill the log: errors of one kind, told apart by
-    // their format, are limited in rate.
-    bool within_rate(fmt::string_view format) {
-        constexpr int most = 5;
-        constexpr Millis span{1000};
-        auto& c = error_rates_[std::string(format.data(), format.size())];
-        if (now_ - c.since >= span) c = {now_, 0};
-        return ++c.lines <= most;
-    }
-    struct ErrorRate {
-        Instant since{};
-        int lines = 0;
-    };
+    bool may_log(LogLevel level, fmt::string_view format);
 
     std::mt19937_64 rng_;
     LogLevel level_;
@@ -147,8 +81,8 @@
     Instant wake_ = Instant::max();
     std::uint64_t last_call_ = 0;
     std::unordered_map<CallId, Continuation> pending_;
-    std::multimap<Instant, std::function<void()>> timers_;
-    std::unordered_map<std::string, ErrorRate> error_rates_;
+    Timers timers_;
+    LogRateLimit error_limit_;
     Effects effects_;
 };
 
--- a/src/workers/worker_client.cpp
+++ b/src/workers/worker_client.cpp
@@ -20,8 +20,8 @@
 
 CommandResult WorkerClient::read(const MachineName& host, const sansio::HttpResult& reply) {
     const bool refused = reply.status == 409 || reply.status == 400;
-    CommandResult result{refused || reply.unsent(), std::nullopt};
-    if (reply.status != 200 && reply.status != 409) return result;
+    CommandResult result{refused || reply.not_sent(), std::nullopt};
+    if (!reply.ok() && reply.status != 409) return result;
     try {
         const auto doc = wire::Document::need(reply.body);
         auto heartbeat = wire::decode_worker_heartbeat(doc.root());
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -9,6 +9,7 @@
 
 namespace dunebridge::workers {
 
+using sansio::RefusalReason;
 using state::Machine;
 using state::make_token;
 using state::term_of;
@@ -19,8 +20,6 @@
 // or while the list is late, all machines may be unknown at once.
 constexpr std::size_t kMaxUnknownWorkers = 20000;
 constexpr Millis kForgetUnknownWorkers{60000};
-constexpr int kServiceUnavailable = 503;
-constexpr int kRetryAfter_s = 1;
 }  // namespace
 
 WorkerManager::WorkerManager(sansio::Context& context, coordination::Election& election,
@@ -44,10 +43,6 @@
 
 // ---- heartbeats ----
 
-void WorkerManager::refuse(RequestId id, std::string_view reason) {
-    context_.answer(id, kServiceUnavailable, wire::encode_error(reason), kRetryAfter_s);
-}
-
 void WorkerManager::handle_heartbeat(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
     auto* machine = find_or_add_machine(id, heartbeat);
     if (!machine) return;
@@ -55,12 +50,12 @@
     // A worker sends its heartbeats in order, one at a time: this is a late copy, or one that it
     // has given up. Nobody waits for the reply, which must not count as a renewal of the lease.
     if (worker.heartbeat_received && heartbeat.order <= worker.last_heartbeat_request) {
-        refuse(id, "overtaken");
+        context_.refuse(id, RefusalReason::heartbeat_out_of_order);
         return;
     }
     worker.last_heartbeat_request = heartbeat.order;
     if (!heartbeat_processor_.apply(*machine, heartbeat, ExchangeKind::heartbeat)) {
-        refuse(id, "superseded");
+        context_.refuse(id, RefusalReason::heartbeat_superseded);
         return;
     }
     count_unacknowledged(*machine);
@@ -70,14 +65,14 @@
     if (worker.last == heartbeat.order) {
         commands = command_dispatcher_.commands_for_reply(*machine);
     }
-    context_.answer(id, 200, wire::encode_heartbeat_reply(token_of(*machine), commands));
+    context_.respond(id, 200, wire::encode_heartbeat_reply(token_of(*machine), commands));
 }
 
 // The machine of the heartbeat; null if the request has been answered already.
 Machine* WorkerManager::find_or_add_machine(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
     // A late heartbeat must not bring back a machine that the cloud has deleted.
     if (released_machines_.contains(heartbeat.host)) {
-        refuse(id, "returned");
+        context_.refuse(id, RefusalReason::machine_released);
         return nullptr;
     }
     if (auto* known = state_.find_machine(heartbeat.host)) return known;
@@ -99,11 +94,11 @@
     }
     const bool is_new = !unknown_workers_.contains(heartbeat.host);
     if (is_new && unknown_workers_.size() >= kMaxUnknownWorkers) {
-        refuse(id, "too many unknown workers");
+        context_.refuse(id, RefusalReason::too_many_unknown_workers);
         return true;
     }
     unknown_workers_.try_emplace(heartbeat.host, context_.now());
-    context_.answer(id, 200, wire::encode_heartbeat_reply(make_token(election_.term(), 0), {}));
+    context_.respond(id, 200, wire::encode_heartbeat_reply(make_token(election_.term(), 0), {}));
     return true;
 }
 
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -46,7 +46,6 @@
     state::Machine* find_or_add_machine(RequestId id, const wire::WorkerHeartbeat& heartbeat);
     bool introduce_token(RequestId id, const wire::WorkerHeartbeat& heartbeat);
     void count_unacknowledged(state::Machine& machine) const;
-    void refuse(RequestId id, std::string_view reason);
     FencingToken token_of(const state::Machine& machine) const;
     void check_machines();
 
--- a/tests/command_delivery_test.cpp
+++ b/tests/command_delivery_test.cpp
@@ -61,7 +61,7 @@
     const auto first = job(1);
     const auto second = job(2);
     auto [w, start, direct] = send_start_twice(s, first, second);
-    s.answer(direct, sansio::HttpResult::kNotSent, {});
+    s.complete(direct, sansio::HttpResult(sansio::CallOutcome::not_sent));
     ASSERT_EQ(s.request("POST", "/v1/jobs/" + second.id.get() + "/abort", {}).status, 200);
     s.run(Millis(3000));
     EXPECT_EQ(s.recorded_hosts(second.id), Hosts{w.heartbeat.host.get()});
@@ -131,7 +131,8 @@
     // No connection to it can be made, and the answers to its reports are lost.
     for (int i = 0; i < 8; ++i) {
         while (!s.commands_in_flight().empty())
-            s.answer(s.commands_in_flight()[0], sansio::HttpResult::kNotSent, {});
+            s.complete(s.commands_in_flight()[0],
+                       sansio::HttpResult(sansio::CallOutcome::not_sent));
         s.send_heartbeat(w.next_heartbeat());
         s.run(Millis(1000));
     }
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -21,8 +21,8 @@
                                             "/hello", "\xc1", false});
     }
     const auto effects = core.apply(std::move(batch), Instant(Millis(5000)), 1700000000000);
-    EXPECT_EQ(effects.answers.size(), 200u);
-    EXPECT_EQ(effects.answers.front().status, 400);
+    EXPECT_EQ(effects.responses.size(), 200u);
+    EXPECT_EQ(effects.responses.front().status, 400);
     EXPECT_LE(effects.logs.size(), 10u);
     EXPECT_GE(effects.logs.size(), 1u);
 }
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -48,7 +48,7 @@
     wire::encode_job(w, dependent_job(2, {job(1).id}));
     const auto answer = s.request("POST", "/v1/jobs", w.take());
     EXPECT_EQ(answer.status, 503);
-    EXPECT_GT(answer.retry_after_s, 0);
+    EXPECT_GT(answer.retry_after.count(), 0);
     EXPECT_EQ(s.state().value(kv::kFormatMark), "");
     EXPECT_EQ(s.state().value(kv::job_key(job(2).id)), "");
 }
--- a/tests/service_interface_test.cpp
+++ b/tests/service_interface_test.cpp
@@ -66,16 +66,16 @@
     batch.push_back(controller::Request{RequestId(polls + 1), controller::Listener::front, "POST",
                                         "/checkin", HarnessWorker().next_heartbeat(), false});
     const auto effects = core.apply(std::move(batch), Instant(Millis(5000)), 1700000000000);
-    ASSERT_FALSE(effects.answers.empty());
-    EXPECT_EQ(effects.answers.front().id, RequestId(polls + 1));
-    std::set<int> returns;
-    for (const auto& answer : effects.answers) {
+    ASSERT_FALSE(effects.responses.empty());
+    EXPECT_EQ(effects.responses.front().id, RequestId(polls + 1));
+    std::set<std::chrono::seconds> returns;
+    for (const auto& answer : effects.responses) {
         if (answer.id == RequestId(polls + 1)) continue;
         EXPECT_EQ(answer.status, 503);
-        returns.insert(answer.retry_after_s);
+        returns.insert(answer.retry_after);
     }
     // At once, for those that no queue can hold, and not all for the same moment.
-    EXPECT_GE(effects.answers.size(), polls / 2);
+    EXPECT_GE(effects.responses.size(), polls / 2);
     EXPECT_GT(returns.size(), 1u);
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -101,11 +101,11 @@
         for (int i = 1; i <= 100; ++i) {
             auto effects = core.apply(std::move(batch), Instant(Millis(i * 100)), 1700000000000);
             batch.clear();
-            for (const auto& a : effects.answers) answered = answered || a.status == 503;
+            for (const auto& a : effects.responses) answered = answered || a.status == 503;
             calls += effects.calls.size();
             for (const auto& c : effects.calls)
-                batch.push_back(
-                    controller::CallCompleted{c.id, {sansio::HttpResult::kNotSent, {}}});
+                batch.push_back(controller::CallCompleted{
+                    c.id, sansio::HttpResult(sansio::CallOutcome::not_sent)});
         }
         EXPECT_TRUE(answered);
         EXPECT_GT(calls, 5u);
--- a/tests/sim/controller_harness.cpp
+++ b/tests/sim/controller_harness.cpp
@@ -148,7 +148,7 @@
     auto effects = controller_->apply(std::move(batch), clock_.now(),
                                       kWallStart + clock_.now().time_since_epoch().count());
     for (auto& line : effects.logs) logs_.push_back(std::move(line.text));
-    for (auto& a : effects.answers) answers_.emplace(a.id, a);
+    for (auto& a : effects.responses) answers_.emplace(a.id, a);
     for (auto& c : effects.calls) call(std::move(c));
 }
 
@@ -159,14 +159,14 @@
     const bool lost = writes_lost_ && c.service == Destination::state && c.target == "/multi" &&
                       wire::Document::parse(c.body)->root()["writes"].size() > 0;
     if (lost) {
-        clock_.after(c.timeout, [done] { done({HttpResult::kNoResponse, {}}); });
+        clock_.after(c.timeout, [done] { done(HttpResult(sansio::CallOutcome::no_response)); });
     } else if (c.service == Destination::state) {
         state_.handle(c.method, c.target, c.body, done);
     } else if (c.service == Destination::cloud) {
         done(cloud_.handle(c.method, c.target, c.body));
     } else if (c.service == Destination::peer) {
         clock_.after(c.timeout, [done] {
-            done({HttpResult::kNoResponse, {}});
+            done(HttpResult(sansio::CallOutcome::no_response));
         });  // no other controller is there
     } else {
         const auto doc = wire::Document::parse(c.body);
@@ -174,7 +174,7 @@
         clock_.after(c.timeout, [this, id = c.id, done] {
             if (std::erase_if(commands_in_flight_,
                               [&](const DirectCommand& d) { return d.id == id; }) > 0) {
-                done({HttpResult::kNoResponse, {}});
+                done(HttpResult(sansio::CallOutcome::no_response));
             }
         });
     }
@@ -187,7 +187,7 @@
     queue_.push_back(
         controller::Request{id, controller::Listener::front, method, target, body, false});
     for (int i = 0; i < 600 && !answers_.contains(id); ++i) run(kTurn);
-    return answers_.contains(id) ? answers_.at(id) : sansio::HttpResponse{id, 0, {}, 0};
+    return answers_.contains(id) ? answers_.at(id) : sansio::HttpResponse{id, 0, {}, {}};
 }
 
 int ControllerHarness::submit(const wire::JobSpec& job) {
@@ -211,9 +211,13 @@
 }
 
 void ControllerHarness::answer(const DirectCommand& direct, int status, const std::string& report) {
+    complete(direct, HttpResult(status, report));
+}
+
+void ControllerHarness::complete(const DirectCommand& direct, const HttpResult& result) {
     const auto id = direct.id;
     std::erase_if(commands_in_flight_, [&](const DirectCommand& d) { return d.id == id; });
-    queue_.push_back(controller::CallCompleted{id, {status, report}});
+    queue_.push_back(controller::CallCompleted{id, result});
 }
 
 HarnessWorker ControllerHarness::machine(std::size_t n) {
--- a/tests/sim/controller_harness.hpp
+++ b/tests/sim/controller_harness.hpp
@@ -62,6 +62,8 @@
     const std::vector<DirectCommand>& commands_in_flight() const { return commands_in_flight_; }
     /// Answers a direct command with a status and the worker's heartbeat.
     void answer(const DirectCommand& direct, int status, const std::string& report);
+    // Ends the call of a command with that result.
+    void complete(const DirectCommand& direct, const sansio::HttpResult& result);
 
     /// Waits up to a minute for the n-th machine to boot, and returns its worker.
     HarnessWorker machine(std::size_t n);
--- a/tests/sim/controller_processes.cpp
+++ b/tests/sim/controller_processes.cpp
@@ -92,7 +92,7 @@
     record_cost(taken.count(), effects);
     record_logs(i, effects);
     add_to_digest(i, effects);
-    respond(process, effects.answers);
+    respond(process, effects.responses);
     for (auto& c : effects.calls) transport_(i, std::move(c));
     wake_when_due(i);
 }
@@ -135,7 +135,7 @@
     cost.processor_s += processor_s;
     cost.longest_step_s = std::max(cost.longest_step_s, processor_s);
     for (const auto& call : effects.calls) cost.bytes += call.body.size();
-    for (const auto& answer : effects.answers) cost.bytes += answer.body.size();
+    for (const auto& answer : effects.responses) cost.bytes += answer.body.size();
 }
 
 void ControllerProcesses::add_to_digest(std::size_t index, const sansio::Effects& effects) {
@@ -152,11 +152,11 @@
         add(call.body);
         add(call.timeout.count());
     }
-    for (const auto& answer : effects.answers) {
+    for (const auto& answer : effects.responses) {
         add(answer.id.get());
         add(answer.status);
         add(answer.body);
-        add(answer.retry_after_s);
+        add(static_cast<int>(answer.retry_after.count()));
     }
 }
 
--- a/tests/sim/simulated_network.cpp
+++ b/tests/sim/simulated_network.cpp
@@ -56,10 +56,10 @@
     // Without a connection a command is certainly not sent.
     if (c.service == Destination::worker &&
         (connection_refused(c.endpoint) || fault != LinkFault::none) && sim_.rng() % 2) {
-        sim_.clock.after(c.timeout, [done] { done({HttpResult::kNotSent, {}}); });
+        sim_.clock.after(c.timeout, [done] { done(HttpResult(sansio::CallOutcome::not_sent)); });
         return;
     }
-    sim_.clock.after(c.timeout, [done] { done({HttpResult::kNoResponse, {}}); });
+    sim_.clock.after(c.timeout, [done] { done(HttpResult(sansio::CallOutcome::no_response)); });
     const bool lose = c.service != Destination::peer &&
                       std::uniform_real_distribution<>(0, 1)(sim_.rng) < faults.lost_responses;
     const auto deliver = [this, i, c, done, lose] {
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -22,7 +22,7 @@
             io_, "127.0.0.1:0", net::HttpServer::Limits{connections, std::chrono::minutes(1)},
             n << 32, [this, n](net::HttpRequest&& r) {
                 boost::asio::post(io_, [this, n, id = r.id] {
-                    servers_[n]->answer({id, 200, {}, 0});
+                    servers_[n]->answer({id, 200, {}, {}});
                 });
             }));
         servers_.back()->start();
@@ -92,6 +92,7 @@
         return client.call(address, "GET", "/", {}, Millis(2000));
     };
     std::vector<int> statuses;
+    sansio::HttpResult refused;
     boost::asio::co_spawn(
         io_,
         [&]() -> boost::asio::awaitable<void> {
@@ -105,14 +106,14 @@
             client.set_max(0);
             EXPECT_EQ(client.connections(), 0u);
             // No place at all: certainly not sent, and said at once.
-            const auto refused = co_await call(addresses[0]);
-            statuses.push_back(refused.status);
+            refused = co_await call(addresses[0]);
             io_.stop();
         },
         boost::asio::detached);
     run();
     thread_.join();
-    EXPECT_EQ(statuses, (std::vector<int>{200, 200, 200, 200, -1}));
+    EXPECT_EQ(statuses, (std::vector<int>{200, 200, 200, 200}));
+    EXPECT_EQ(refused.outcome, sansio::CallOutcome::not_sent);
 }
 
 // The process stands still for longer than the call may take; the answer, too long to be read at
@@ -126,7 +127,7 @@
         [&](net::HttpRequest&& request) {
             delay.expires_after(std::chrono::milliseconds(60));
             delay.async_wait([&, id = request.id](boost::system::error_code) {
-                server->answer({id, 200, std::string(bytes, 'x'), 0});
+                server->answer({id, 200, std::string(bytes, 'x'), {}});
             });
         });
     server->start();
