--- /dev/null
+++ b/src/config/peer_address.hpp
@@ -0,0 +1,17 @@
+/// \file
+/// Where another controller is found.
+#pragma once
+
+#include <string>
+
+#include "base/types.hpp"
+
+namespace dunebridge::config {
+
+struct PeerAddress {
+    ControllerName name;
+    std::string zone;
+    std::string back;  ///< "host:port" of its listener for other controllers.
+};
+
+}  // namespace dunebridge::config
