--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,16 +1,19 @@
-// The one owner of a node's state. It works through commands in batches and returns effects.
-// Pure: no input or output, no clock and no randomness but what it is given.
+/// \file
+/// The one owner of a controller process's state. It handles commands in batches and returns
+/// effects.
 #pragma once
 
 #include <cstdint>
-#include <string>
-#include <variant>
 #include <vector>
 
 #include "api/job_service.hpp"
 #include "config/config.hpp"
+#include "controller/batch_order.hpp"
+#include "controller/cancellation_broadcast.hpp"
 #include "controller/heartbeat_relay.hpp"
 #include "controller/leadership_guard.hpp"
+#include "controller/peer_heartbeat_builder.hpp"
+#include "controller/router.hpp"
 #include "coordination/cancellation_log.hpp"
 #include "coordination/election.hpp"
 #include "coordination/peer_monitor.hpp"
@@ -30,22 +33,9 @@
 
 namespace dunebridge::controller {
 
-enum class Listener : std::uint8_t { front, back };
-
-struct Request {
-    RequestId id;
-    Listener plane = Listener::front;
-    std::string method;
-    std::string target;
-    std::string body;
-    bool too_large = false;
-};
-struct CallCompleted {
-    CallId id;
-    sansio::HttpResult reply;
-};
-using Command = std::variant<Request, CallCompleted>;
-
+/// A controller without input and output: it has no clock and no randomness but what it is given.
+/// Its parts share one Context and hold references to each other, so it can't be copied or moved.
+/// Not thread-safe: one thread calls it.
 class Controller {
   public:
     Controller(config::Config config, std::uint64_t seed, sansio::LogLevel level);
@@ -55,41 +45,49 @@
     Controller& operator=(Controller&&) = delete;
     ~Controller() = default;
 
+    /// One step: handles the batch, runs what is due at that time, and returns what is to be sent.
+    /// `now` never goes back from one step to the next.
     sansio::Effects apply(std::vector<Command>&& batch, Instant now, std::int64_t wall_ms);
-    // When apply() wants to be called even without commands.
+    /// When apply() is to be called at the latest, if need be with an empty batch.
     Instant wake() const { return context_.wake(); }
 
-    // For tests and measurements.
+    /// Whether this node leads and has loaded the cluster state: only then does it decide.
     bool leads() const { return election_.is_leader() && state_.loaded(); }
 
   private:
-    void handle(Request&& request);
-    void handle_peer_request(const Request& request);
-    void handle_job(const Request& request, const std::string& rest);
-    void handle_worker_heartbeat(const Request& request);
-    void handle_readiness(const Request& request);
+    // Requests and results.
+    void handle(Command&& command);
+    void handle_request(RequestId id, SubmitJob&& request);
+    void handle_request(RequestId id, PollJob&& request);
+    void handle_request(RequestId id, CancelJob&& request);
+    void handle_request(RequestId id, WorkerHeartbeatRequest&& request);
+    void handle_request(RequestId id, ReadinessProbe&& request);
+    void handle_request(RequestId id, PeerHeartbeatRequest&& request);
+    void handle_request(RequestId id, sansio::Refusal&& refusal);
+    void handle_worker_heartbeat_as_leader(RequestId id, wire::Value body);
     bool ready() const;
-    void cancelled(const JobId& id);
-    void cancel_in_state(const JobId& id);
-    ControllerName leader_to_notify() const;
-    void broadcast_cancellation(const JobId& id, std::function<void()> then);
-    void complete_failover();
-    void apply_cancellations();
-    void restore_faulty_jobs();
-    std::vector<JobId> faulty_jobs();
+
+    // Leadership.
+    void update_election();
     void handle_leadership_change();
-    void schedule();
-    std::uint64_t common_record_format() const;
-    coordination::PeerHeartbeat heartbeat();
-    coordination::JobProgress progress(const JobId& id);
+    void begin_term();
+    void end_term();
+    void complete_failover();
+
+    // The leader's work.
+    void run_leader_tasks(bool upkeep);
+    void schedule_if_due();
+    bool upkeep_due();
 
     const config::Config config_;
     sansio::Context context_;
     kv::KvClient kv_client_;
     coordination::Election election_;
-    coordination::CancellationLog cancellations_;
+    coordination::CancellationLog cancellation_log_;
     coordination::PeerMonitor peer_monitor_;
     state::ClusterState state_;
+    PeerHeartbeatBuilder peer_heartbeat_builder_;
+    CancellationBroadcast cancellation_broadcast_;
     state::ClusterStateFollower follower_;
     state::ClusterStateLoader loader_;
     state::ClusterStateWriter writer_;
@@ -103,10 +101,11 @@
     api::JobService jobs_;
     LeadershipGuard leadership_guard_;
     HeartbeatRelay heartbeat_relay_;
+    /// The election's generation whose cluster state was last loaded.
     std::uint64_t generation_ = 0;
-    std::uint64_t failover_completed_ = 0;  // the generation whose ledger has been completed
-    std::vector<JobId> own_faulty_jobs_;    // as last told while leading
-    bool led_ = false;
+    /// The generation whose cluster state was last completed with what this node knew besides.
+    std::uint64_t failover_completed_ = 0;
+    bool was_leader_ = false;  ///< As of the last handle_leadership_change().
     Instant last_apply_{};
     Instant next_schedule_{};
     Instant next_upkeep_{};
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -7,29 +7,31 @@
 using sansio::RefusalReason;
 
 namespace {
-constexpr Millis kForgetEvery{5000};
-// For so long after its first redirection a worker that comes back is relayed.
-constexpr Millis kRelayFor{30000};
+constexpr Millis kForgetInterval{5000};
+// A worker that comes back within this time of its first redirection is relayed.
+constexpr Millis kRelayDuration{30000};
 constexpr Millis kRelayTimeout{2500};
+constexpr int kMisdirectedRequest = 421;
 }  // namespace
 
-HeartbeatRelay::HeartbeatRelay(sansio::Context& port, const config::Config& config,
-                               const kv::KvClient& store, const coordination::Election& election,
-                               const coordination::PeerMonitor& peers)
-    : context_(port),
+HeartbeatRelay::HeartbeatRelay(sansio::Context& context, const config::Config& config,
+                               const kv::KvClient& kv_client,
+                               const coordination::Election& election,
+                               const coordination::PeerMonitor& peer_monitor)
+    : context_(context),
       config_(config),
-      kv_client_(store),
+      kv_client_(kv_client),
       election_(election),
-      peer_monitor_(peers) {}
+      peer_monitor_(peer_monitor) {}
 
 void HeartbeatRelay::handle(RequestId id, const std::string& body, wire::Value heartbeat) {
     const auto leader = known_leader();
-    const bool relayed = !leader.get().empty() &&
-                         redirected_lately(MachineName(heartbeat["host"].need_text("host")));
-    const auto node = std::find_if(config_.peers.begin(), config_.peers.end(),
+    const bool should_relay = !leader.get().empty() &&
+                              redirected_recently(MachineName(heartbeat["host"].need_text("host")));
+    const auto peer = std::find_if(config_.peers.begin(), config_.peers.end(),
                                    [&](const auto& known) { return known.name == leader; });
-    if (relayed && node != config_.peers.end()) {
-        relay(id, body, *node);
+    if (should_relay && peer != config_.peers.end()) {
+        relay(id, body, *peer);
     } else {
         redirect(id, leader);
     }
@@ -43,31 +45,32 @@
 }
 
 void HeartbeatRelay::redirect(RequestId id, const ControllerName& leader) {
-    if (election_.is_leader()) {  // its ledger is still being read
+    if (election_.is_leader()) {  // still loads the cluster state
         context_.refuse(id, RefusalReason::leader_loading);
     } else if (leader.get().empty()) {
         context_.refuse(id, RefusalReason::no_leader);
     } else {
-        context_.respond(id, 421, wire::encode_redirect(leader.get()));
+        context_.respond(id, kMisdirectedRequest, wire::encode_redirect(leader.get()));
     }
 }
 
-bool HeartbeatRelay::redirected_lately(const MachineName& host) {
+bool HeartbeatRelay::redirected_recently(const MachineName& host) {
     if (context_.now() >= next_forget_) {
-        next_forget_ = context_.now() + kForgetEvery;
-        std::erase_if(redirected_,
-                      [&](const auto& entry) { return context_.now() - entry.second > kRelayFor; });
+        next_forget_ = context_.now() + kForgetInterval;
+        std::erase_if(first_redirected_at_, [&](const auto& entry) {
+            return context_.now() - entry.second > kRelayDuration;
+        });
     }
-    return !redirected_.try_emplace(host, context_.now()).second;
+    return !first_redirected_at_.try_emplace(host, context_.now()).second;
 }
 
-// The leader's own answer, with its token, is handed on: this node adds nothing.
+// The leader's response, with its fencing token, is passed on unchanged.
 void HeartbeatRelay::relay(RequestId id, const std::string& body,
                            const config::PeerAddress& leader) {
     context_.call(sansio::Destination::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
-                  [this, id](const sansio::HttpResult& reply) {
-                      if (reply.ok()) {
-                          context_.respond(id, 200, reply.body);
+                  [this, id](const sansio::HttpResult& result) {
+                      if (result.ok()) {
+                          context_.respond(id, sansio::kHttpOk, result.body);
                       } else {
                           context_.refuse(id, RefusalReason::leader_unreachable);
                       }
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -1,8 +1,6 @@
-// What a node that does not lead answers to a worker's check-in: who leads, or the leader's own
-// answer.
-//
-// A worker that comes back soon after it was sent to the leader cannot reach it: the two may be on
-// either side of a cut that this node is not behind. Its check-in is then relayed.
+/// \file
+/// What a controller that does not lead responds to a worker's heartbeat: who leads, or the
+/// leader's own response.
 #pragma once
 
 #include <map>
@@ -16,17 +14,21 @@
 
 namespace dunebridge::controller {
 
+/// Redirects workers to the leader. A worker that comes back soon after it was redirected can't
+/// reach the leader: a network partition may lie between the two and not between this node and the
+/// leader. Its heartbeats are then relayed.
 class HeartbeatRelay {
   public:
-    HeartbeatRelay(sansio::Context& port, const config::Config& config, const kv::KvClient& store,
-                   const coordination::Election& election, const coordination::PeerMonitor& peers);
+    HeartbeatRelay(sansio::Context& context, const config::Config& config,
+                   const kv::KvClient& kv_client, const coordination::Election& election,
+                   const coordination::PeerMonitor& peer_monitor);
 
-    // Throws wire::DecodeError if the report names no host.
+    /// `heartbeat` is the decoded body. Throws wire::DecodeError if it names no host.
     void handle(RequestId id, const std::string& body, wire::Value heartbeat);
 
   private:
     ControllerName known_leader() const;
-    bool redirected_lately(const MachineName& host);
+    bool redirected_recently(const MachineName& host);
     void redirect(RequestId id, const ControllerName& leader);
     void relay(RequestId id, const std::string& body, const config::PeerAddress& leader);
 
@@ -35,7 +37,8 @@
     const kv::KvClient& kv_client_;
     const coordination::Election& election_;
     const coordination::PeerMonitor& peer_monitor_;
-    std::map<MachineName, Instant> redirected_;  // and when each was first
+    /// When each worker was first redirected, for kRelayDuration.
+    std::map<MachineName, Instant> first_redirected_at_;
     Instant next_forget_{};
 };
 
--- a/src/controller/leadership_guard.cpp
+++ b/src/controller/leadership_guard.cpp
@@ -5,22 +5,22 @@
 namespace dunebridge::controller {
 
 namespace {
-// Without any worker's report for so many intervals a leader counts as unreached.
+// After so many intervals without any worker's heartbeat a leader counts as unreachable.
 constexpr int kMissedHeartbeats = 5;
-// For how long another node may lead after that.
-constexpr Millis kStandAside{20000};
+// For how long it then leaves the leadership to the others.
+constexpr Millis kResignFor{20000};
 constexpr int kIsolatedPercent = 35;  // of a worker's lease
 }  // namespace
 
-LeadershipGuard::LeadershipGuard(sansio::Context& port, const config::Config& config,
-                                 const kv::KvClient& store, coordination::Election& election,
-                                 const coordination::PeerMonitor& peers,
+LeadershipGuard::LeadershipGuard(sansio::Context& context, const config::Config& config,
+                                 const kv::KvClient& kv_client, coordination::Election& election,
+                                 const coordination::PeerMonitor& peer_monitor,
                                  state::ClusterState& cluster_state)
-    : context_(port),
+    : context_(context),
       config_(config),
-      kv_client_(store),
+      kv_client_(kv_client),
       election_(election),
-      peer_monitor_(peers),
+      peer_monitor_(peer_monitor),
       state_(cluster_state),
       max_cancellation_staleness_(config.max_cancellation_staleness()) {
     if (max_cancellation_staleness_ > config::Config::kMinCancellationStaleness) return;
@@ -29,7 +29,6 @@
                  to_seconds(config_.cancellation_deadline), to_seconds(config_.worker_lease));
 }
 
-// Another may lead meanwhile: no lease is taken for over before the state service has answered.
 bool LeadershipGuard::suspend_leadership_after_stall(Instant last_run) {
     const bool stalled =
         last_run != Instant{} && context_.now() - last_run >= config_.tuning.leader_lease;
@@ -37,22 +36,21 @@
     return stalled;
 }
 
-// It may long have been replaced. Its workers must not stay with it until their leases, renewed by
-// it in vain, keep their tasks from the others: they are sent away in good time.
+// It may have been replaced long ago. While it renews leases, the new leader can't run those
+// workers' tasks elsewhere: the workers are to look for another leader in good time.
 void LeadershipGuard::suspend_leadership_if_isolated() {
     if (config_.peers.empty() || kv_client_.reachable()) return;
-    const auto alone =
+    const auto isolated_for =
         std::min(kv_client_.time_since_response(), context_.now() - peer_monitor_.last_heard());
     const auto limit = config_.worker_lease * kIsolatedPercent / 100;
-    if (alone < std::max(config_.tuning.leader_lease, limit)) return;
+    if (isolated_for < std::max(config_.tuning.leader_lease, limit)) return;
     context_.log(sansio::LogLevel::info, "event=leader_isolated term={}", election_.term().get());
     election_.suspend_leadership("it is isolated");
 }
 
-// Neither directly nor through its peers.
 void LeadershipGuard::resign_if_no_worker_heartbeats() {
     if (config_.peers.empty()) return;
-    // No report in this term at all is no sign: all machines may be gone.
+    // No heartbeat at all in this term proves nothing: there may be no machine left.
     Instant last_heartbeat_at{};
     for (const auto& [host, machine] : state_.machines()) {
         if (machine.instance.deleting) continue;
@@ -62,12 +60,13 @@
     if (context_.now() - last_heartbeat_at < config_.heartbeat_interval * kMissedHeartbeats) return;
     context_.log(sansio::LogLevel::info, "event=no_worker_heartbeats term={}",
                  election_.term().get());
-    election_.resign(kStandAside);
+    election_.resign(kResignFor);
 }
 
 // docs/design.md, 'Cancellation': from the moment a user may have been shown a cancellation that
-// this leader does not know, it renews leases for so long only that they end within `cancel_s`.
-// What it knows is what it has read from the state service, or what every peer has acknowledged.
+// this leader does not know, it renews leases for so long only that they expire within the
+// deadline. What it knows is what it has read from the key-value store, or what every peer has
+// acknowledged.
 bool LeadershipGuard::may_renew_leases(Instant terminal_records_read_at) {
     const auto known = std::max(terminal_records_read_at,
                                 peer_monitor_.cancellations_known_until(terminal_records_read_at));
--- a/src/controller/leadership_guard.hpp
+++ b/src/controller/leadership_guard.hpp
@@ -1,5 +1,6 @@
-// When a leader must give the leadership up, or stop renewing leases, though the state service has
-// not shown that another leads.
+/// \file
+/// When a leader must give leadership up, or stop renewing leases, though the key-value store has
+/// not shown that another node leads.
 #pragma once
 
 #include "config/config.hpp"
@@ -13,19 +14,22 @@
 
 class LeadershipGuard {
   public:
-    LeadershipGuard(sansio::Context& port, const config::Config& config, const kv::KvClient& store,
-                    coordination::Election& election, const coordination::PeerMonitor& peers,
+    LeadershipGuard(sansio::Context& context, const config::Config& config,
+                    const kv::KvClient& kv_client, coordination::Election& election,
+                    const coordination::PeerMonitor& peer_monitor,
                     state::ClusterState& cluster_state);
 
-    // Nothing is decided or answered as the leader after a stand-still of the process. Returns
-    // whether there was one.
+    /// To be called before anything else of a step. Suspends leadership after a stall of the
+    /// process of a leader's lease or more: another node may lead meanwhile, and no lease is taken
+    /// to have expired before the key-value store has answered. Returns whether there was a stall.
     bool suspend_leadership_after_stall(Instant last_run);
-    // Nor by a leader that reaches neither the state service nor another node.
+    /// Suspends the leadership of a node that reaches neither the key-value store nor a peer.
     void suspend_leadership_if_isolated();
-    // A leader that no worker reaches is of no use: another may be.
+    /// Resigns if no worker reaches this leader, directly or through its peers: another node may
+    /// be reached. Only for a leader whose cluster state is loaded.
     void resign_if_no_worker_heartbeats();
-    // Whether leases may be renewed by a node that knows all ends up to then from the state
-    // service.
+    /// Whether leases may be renewed by a node that has read all terminal records up to that time
+    /// from the key-value store.
     bool may_renew_leases(Instant terminal_records_read_at);
 
   private:
