--- a/src/api/ancestor_check.cpp
+++ b/src/api/ancestor_check.cpp
@@ -2,17 +2,11 @@
 
 #include <algorithm>
 
-#include "api/timeouts.hpp"
+#include "api/request_limits.hpp"
 #include "kv/keys.hpp"
 
 namespace dunebridge::api {
 
-namespace {
-// A check is valid for this part of the cancellation deadline.
-constexpr int kFreshPart = 8;
-constexpr std::size_t kMaxChecks = 64;
-}  // namespace
-
 AncestorCheck::AncestorCheck(sansio::Context& context, kv::KvClient& kv_client,
                              const config::Config& config, TokenBucket& read_budget,
                              OnChecked on_checked)
@@ -22,7 +16,9 @@
       read_budget_(read_budget),
       on_checked_(std::move(on_checked)) {}
 
-Millis AncestorCheck::fresh_for() const { return config_.cancellation_deadline / kFreshPart; }
+Millis AncestorCheck::fresh_for() const {
+    return config_.cancellation_deadline / kAncestorCheckFreshPart;
+}
 
 bool AncestorCheck::is_fresh(const JobId& job) const {
     const auto it = none_terminal_at_.find(job);
@@ -37,7 +33,7 @@
 
 void AncestorCheck::start(const JobId& job, const std::vector<JobId>& ancestors) {
     forget_stale();
-    if (checks_.size() >= kMaxChecks && !checks_.contains(job)) {
+    if (checks_.size() >= kMaxAncestorChecks && !checks_.contains(job)) {
         on_checked_(job, Outcome::unavailable, {});
         return;
     }
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "api/timeouts.hpp"
+#include "api/request_limits.hpp"
 #include "kv/keys.hpp"
 #include "kv/records.hpp"
 
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "api/dependency_lookup.hpp"
-#include "api/timeouts.hpp"
+#include "api/request_limits.hpp"
 #include "kv/keys.hpp"
 #include "kv/records.hpp"
 
@@ -13,11 +13,11 @@
 using sansio::LogLevel;
 using Outcome = JobLookupResult::Outcome;
 
-void JobLookup::start(PendingRequest pending, FirstRead first_read) {
-    const auto job = pending.job;
-    const bool cancels = pending.intent == Intent::cancel;
+void JobLookup::start(JobRequest request, FirstRead first_read) {
+    const auto job = request.job;
+    const bool cancels = request.kind == RequestKind::cancellation;
     const auto [it, added] = lookups_.try_emplace(job);
-    it->second.waiting.push_back(std::move(pending));
+    it->second.waiting.push_back(std::move(request));
     if (!added) return;
     it->second.next_read = first_read;
     // Cancellations go before what is only asked.
@@ -42,8 +42,8 @@
     send(job);
 }
 
-void JobLookup::drop_if(const std::function<bool(const PendingRequest&)>& condition) {
-    for (auto& [job, lookup] : lookups_) std::erase_if(lookup.waiting, condition);
+void JobLookup::drop_if(const DropRequest& drop) {
+    for (auto& [job, lookup] : lookups_) std::erase_if(lookup.waiting, drop);
 }
 
 void JobLookup::send(const JobId& job) {
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "api/job_cache.hpp"
-#include "api/pending_request.hpp"
+#include "api/job_request.hpp"
 #include "kv/client.hpp"
 #include "sansio/context.hpp"
 #include "wire/messages.hpp"
@@ -40,7 +40,7 @@
     /// record.
     enum class FirstRead : std::uint8_t { terminal_record, job_record };
     /// Called once at the end of each lookup with all requests that waited for it.
-    using OnFinished = std::function<void(std::vector<PendingRequest>, const JobLookupResult&)>;
+    using OnFinished = std::function<void(std::vector<JobRequest>, const JobLookupResult&)>;
 
     JobLookup(sansio::Context& context, kv::KvClient& kv_client, JobCache& cache,
               OnFinished on_finished)
@@ -50,19 +50,18 @@
           on_finished_(std::move(on_finished)) {}
 
     /// Queues a lookup of the request's job, or joins the one that there is.
-    void start(PendingRequest pending, FirstRead first_read);
+    void start(JobRequest request, FirstRead first_read);
     /// Whether there is a read to be sent. Forgets queued lookups for which no request waits any
     /// more.
     bool has_unsent();
     /// Sends the next read; has_unsent() must be true. The caller keeps to the read budget.
     void send_next();
-    /// Removes the waiting requests for which the condition holds; it is called once for each.
-    void drop_if(const std::function<bool(const PendingRequest&)>& condition);
+    void drop_if(const DropRequest& drop);
 
   private:
     struct Lookup {
         FirstRead next_read = FirstRead::terminal_record;
-        std::vector<PendingRequest> waiting;
+        std::vector<JobRequest> waiting;
     };
 
     void send(const JobId& job);
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "api/timeouts.hpp"
+#include "api/request_limits.hpp"
 #include "kv/keys.hpp"
 
 namespace dunebridge::api {
@@ -15,24 +15,9 @@
 using wire::JobStatus;
 
 namespace {
-constexpr std::size_t kMaxQueued = 400;
-constexpr int kMaxConfirming = 2;
-constexpr Millis kSilentService{300};
-// A state service that takes seconds is still of use: users wait 2 s for a poll's answer, 5 s for
-// the others'.
-constexpr Millis kGiveUp{1500};
-// Those that are sent away together come back spread over so many seconds.
-constexpr std::uint64_t kRetrySpread_s = 3;
-// A node's share of the writes; the leader's ledger has the larger part
-// (core/ledger_committer.cpp).
-constexpr double kWriteShare = 0.2;
-// What all nodes together may read for users. The rest is for the leader: its lease, its watches,
-// its transactions, and the ledger that it reads when a term begins.
-constexpr double kReadShareOfAll = 0.5;
-
 double reads_of_one_node(const config::Config& config) {
     const auto nodes = static_cast<double>(config.peers.size() + 1);
-    return kReadShareOfAll * config.kv_limits.rps() / nodes;
+    return kReadShareOfAllNodes * config.kv_limits.rps() / nodes;
 }
 }  // namespace
 
@@ -53,25 +38,25 @@
                     const std::vector<JobId>& ended) { ancestors_checked(job, outcome, ended); }),
       records_(config),
       lookup_records_(port, store, cache_,
-                      [this](std::vector<PendingRequest> waiting, const JobLookupResult& result) {
+                      [this](std::vector<JobRequest> waiting, const JobLookupResult& result) {
                           looked_up(std::move(waiting), result);
                       }) {}
 
-PendingRequest JobService::new_request(RequestId request, const JobId& job, Intent intent) const {
-    PendingRequest pending;
-    pending.request = request;
+JobRequest JobService::new_request(RequestId request, const JobId& job, RequestKind kind) const {
+    JobRequest pending;
+    pending.id = request;
     pending.job = job;
-    pending.intent = intent;
-    pending.since = context_.now();
+    pending.kind = kind;
+    pending.received_at = context_.now();
     return pending;
 }
 
 void JobService::poll(RequestId request, const JobId& job) {
-    enqueue(new_request(request, job, Intent::poll));
+    enqueue(new_request(request, job, RequestKind::poll));
 }
 
 void JobService::cancel(RequestId request, const JobId& job) {
-    auto pending = new_request(request, job, Intent::cancel);
+    auto pending = new_request(request, job, RequestKind::cancellation);
     if (!answer_if_ended(pending)) {
         lookup_records_.start(std::move(pending), JobLookup::FirstRead::terminal_record);
     }
@@ -79,12 +64,12 @@
 
 // ---- answers ----
 
-void JobService::answer_end(const PendingRequest& pending, const JobStatus& end) {
-    context_.respond(pending.request, 200, wire::encode(end));
+void JobService::answer_end(const JobRequest& pending, const JobStatus& end) {
+    context_.respond(pending.id, 200, wire::encode(end));
 }
 
 // No answer shows a cancellation that this node's log does not hold yet.
-void JobService::end_found(PendingRequest pending, const JobStatus& end) {
+void JobService::end_found(JobRequest pending, const JobStatus& end) {
     if (end.phase == JobPhase::done) {
         cache_.set_terminal(pending.job, end);
         answer_end(pending, end);
@@ -96,19 +81,19 @@
     });
 }
 
-void JobService::answer_open(const PendingRequest& pending) {
+void JobService::answer_open(const JobRequest& pending) {
     const auto progress = progress_source_(pending.job);
     const auto phase = progress.running > 0 ? JobPhase::running : JobPhase::pending;
     const JobStatus status{pending.job, phase, progress.done, progress.running};
-    context_.respond(pending.request, 200, wire::encode(status));
+    context_.respond(pending.id, 200, wire::encode(status));
 }
 
-void JobService::answer_unavailable(const PendingRequest& pending) {
+void JobService::answer_unavailable(const JobRequest& pending) {
     const auto spread = std::chrono::seconds(context_.random() % kRetrySpread_s);
-    context_.refuse(pending.request, RefusalReason::try_again, spread);
+    context_.refuse(pending.id, RefusalReason::try_again, spread);
 }
 
-bool JobService::answer_if_ended(const PendingRequest& pending) {
+bool JobService::answer_if_ended(const JobRequest& pending) {
     const auto* known = cache_.find(pending.job);
     if (!known || !known->terminal) return false;
     answer_end(pending, *known->terminal);
@@ -117,13 +102,13 @@
 
 // ---- queues ----
 
-void JobService::enqueue(PendingRequest pending) {
+void JobService::enqueue(JobRequest pending) {
     if (answer_if_ended(pending)) return;
-    auto& queue = pending.intent == Intent::submit ? to_create_ : to_confirm_;
+    auto& queue = pending.kind == RequestKind::submission ? to_create_ : to_confirm_;
     // Nobody is kept waiting for a service that does not answer, nor in a queue that only grows.
-    if (++pending.tries > kMaxTries || queue.size() >= kMaxQueued ||
-        kv_client_.time_since_response() > kSilentService ||
-        context_.now() - pending.since > kGiveUp) {
+    if (++pending.attempts > kMaxAttempts || queue.size() >= kMaxQueued ||
+        kv_client_.time_since_response() > kStoreSilentAfter ||
+        context_.now() - pending.received_at > kMaxRequestAge) {
         answer_unavailable(pending);
         return;
     }
@@ -140,7 +125,7 @@
 // masses must not crowd out the leader's reads and writes, nor one another.
 void JobService::send_reads() {
     for (;;) {
-        const bool may_confirm = !to_confirm_.empty() && confirming_ < kMaxConfirming;
+        const bool may_confirm = !to_confirm_.empty() && confirming_ < kMaxReadTransactions;
         const bool may_look_up = lookup_records_.has_unsent();
         if (!may_confirm && !may_look_up) return;
         if (!reads_.take(1, context_.now())) {
@@ -155,8 +140,8 @@
 
 // Those that have waited too long, for the budgets or for a check, are answered 503.
 void JobService::drop_late() {
-    const auto late = [this](const PendingRequest& pending) {
-        if (context_.now() - pending.since <= kGiveUp) return false;
+    const auto late = [this](const JobRequest& pending) {
+        if (context_.now() - pending.received_at <= kMaxRequestAge) return false;
         answer_unavailable(pending);
         return true;
     };
@@ -170,13 +155,13 @@
 
 // ---- cancellations ----
 
-void JobService::commit_cancellation(PendingRequest pending) {
+void JobService::commit_cancellation(JobRequest pending) {
     const auto* known = cache_.find(pending.job);
     const std::vector<wire::Precondition> preconditions{
         {job_key(pending.job), known ? known->record : KeyRevision()},
         {terminal_key(pending.job), KeyRevision()}};
     const std::vector<wire::Write> writes{
-        {terminal_key(pending.job), cancelled_record(context_.wall_ms()), std::nullopt}};
+        {terminal_key(pending.job), cancellation_record(context_.wall_ms()), std::nullopt}};
     kv_client_.compare_and_swap(
         preconditions, writes, kWriteTimeout,
         [this, pending = std::move(pending)](const kv::TransactionResult& result) mutable {
@@ -184,7 +169,7 @@
                 const JobStatus end{pending.job, JobPhase::cancelled, 0, 0};
                 end_found(std::move(pending), end);
             } else if (result.outcome == TransactionOutcome::conflict &&
-                       ++pending.tries <= kMaxTries) {
+                       ++pending.attempts <= kMaxAttempts) {
                 lookup_records_.start(std::move(pending), JobLookup::FirstRead::terminal_record);
             } else {
                 answer_unavailable(pending);
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -20,7 +20,7 @@
 #include "api/dependency_lookup.hpp"
 #include "api/job_cache.hpp"
 #include "api/job_lookup.hpp"
-#include "api/pending_request.hpp"
+#include "api/job_request.hpp"
 #include "api/submission_records.hpp"
 #include "base/token_bucket.hpp"
 #include "config/config.hpp"
@@ -50,55 +50,52 @@
     void tick();
 
   private:
-    // How often a request is looked up and queued before it is given up.
-    static constexpr int kMaxTries = 5;
-
-    PendingRequest new_request(RequestId request, const JobId& job, Intent intent) const;
+    JobRequest new_request(RequestId request, const JobId& job, RequestKind kind) const;
 
     // Submissions.
-    bool decode_submission(PendingRequest& pending, wire::Value body);
-    void refuse(PendingRequest pending, sansio::Refusal refusal);
-    void submit_dependent(PendingRequest pending);
-    void look_up_dependencies(PendingRequest pending);
-    void prepare(PendingRequest pending);
+    bool decode_submission(JobRequest& pending, wire::Value body);
+    void refuse(JobRequest pending, sansio::Refusal refusal);
+    void submit_dependent(JobRequest pending);
+    void look_up_dependencies(JobRequest pending);
+    void prepare(JobRequest pending);
     void create_jobs();
-    void jobs_created(std::vector<PendingRequest> batch, const kv::TransactionResult& result);
-    void answer_created(const PendingRequest& pending, KeyRevision rev);
-    bool fits_transaction(const PendingRequest& pending, std::size_t preconditions,
-                          std::size_t writes, std::size_t bytes) const;
+    void jobs_created(std::vector<JobRequest> batch, const kv::TransactionResult& result);
+    void answer_created(const JobRequest& pending, KeyRevision rev);
+    bool fits_transaction(const JobRequest& pending, std::size_t preconditions, std::size_t writes,
+                          std::size_t bytes) const;
 
     // Answers.
-    void answer_end(const PendingRequest& pending, const wire::JobStatus& end);
-    void answer_open(const PendingRequest& pending);
-    void answer_unavailable(const PendingRequest& pending);
-    bool answer_if_ended(const PendingRequest& pending);
-    void end_found(PendingRequest pending, const wire::JobStatus& end);
+    void answer_end(const JobRequest& pending, const wire::JobStatus& end);
+    void answer_open(const JobRequest& pending);
+    void answer_unavailable(const JobRequest& pending);
+    bool answer_if_ended(const JobRequest& pending);
+    void end_found(JobRequest pending, const wire::JobStatus& end);
 
     // Confirmations.
     void send_reads();
-    void enqueue(PendingRequest pending);
-    bool check_ancestors_first(PendingRequest& pending);
+    void enqueue(JobRequest pending);
+    bool check_ancestors_first(JobRequest& pending);
     void ancestors_checked(const JobId& job, AncestorCheck::Outcome outcome,
                            const std::vector<JobId>& ended);
     void confirm();
-    void confirmed(std::vector<PendingRequest> batch, const kv::TransactionResult& result);
-    void answer_confirmed(const PendingRequest& pending);
-    void looked_up(std::vector<PendingRequest> waiting, const JobLookupResult& result);
-    void job_known(PendingRequest pending);
+    void confirmed(std::vector<JobRequest> batch, const kv::TransactionResult& result);
+    void answer_confirmed(const JobRequest& pending);
+    void looked_up(std::vector<JobRequest> waiting, const JobLookupResult& result);
+    void job_known(JobRequest pending);
     void drop_late();
 
     // Ancestors, as far as they are guarded in the transaction itself.
-    const std::vector<JobId>& required_ancestors(const PendingRequest& pending) const;
-    void require_no_ends(const PendingRequest& pending, std::set<JobId>& required,
+    const std::vector<JobId>& required_ancestors(const JobRequest& pending) const;
+    void require_no_ends(const JobRequest& pending, std::set<JobId>& required,
                          std::vector<wire::Precondition>& preconditions) const;
-    std::size_t preconditions_for(const PendingRequest& pending) const;
-    std::vector<JobId> ended_ancestors(const PendingRequest& pending,
+    std::size_t preconditions_for(const JobRequest& pending) const;
+    std::vector<JobId> ended_ancestors(const JobRequest& pending,
                                        const std::set<std::string>& failed) const;
-    void settle_ancestors(PendingRequest pending, const std::vector<JobId>& ended);
-    void ancestor_done(PendingRequest& pending, const JobId& ancestor);
+    void settle_ancestors(JobRequest pending, const std::vector<JobId>& ended);
+    void ancestor_done(JobRequest& pending, const JobId& ancestor);
 
     // Cancellations.
-    void commit_cancellation(PendingRequest pending);
+    void commit_cancellation(JobRequest pending);
 
     sansio::Context& context_;
     kv::KvClient& kv_client_;
@@ -114,9 +111,9 @@
     SubmissionRecords records_;
     JobLookup lookup_records_;
 
-    std::deque<PendingRequest> to_confirm_;
-    std::deque<PendingRequest> to_create_;
-    std::map<JobId, std::vector<PendingRequest>> awaiting_check_;
+    std::deque<JobRequest> to_confirm_;
+    std::deque<JobRequest> to_create_;
+    std::map<JobId, std::vector<JobRequest>> awaiting_check_;
     int confirming_ = 0;
     bool look_up_next_ = false;
     int creating_ = 0;
--- a/src/api/linearizable_reads.cpp
+++ b/src/api/linearizable_reads.cpp
@@ -1,7 +1,7 @@
 // The part of the users' interface that confirms what it answers: that a job is open or unknown, by
 // a transaction that only compares, and otherwise by reading its records.
 #include "api/job_service.hpp"
-#include "api/timeouts.hpp"
+#include "api/request_limits.hpp"
 #include "kv/keys.hpp"
 
 namespace dunebridge::api {
@@ -12,8 +12,8 @@
 using sansio::RefusalReason;
 
 // Returns whether the request now waits for a check of its job's ancestors.
-bool JobService::check_ancestors_first(PendingRequest& pending) {
-    if (pending.intent == Intent::submit || pending.ancestors_checked) return false;
+bool JobService::check_ancestors_first(JobRequest& pending) {
+    if (pending.kind == RequestKind::submission || pending.ancestors_checked) return false;
     const auto& ancestors = cache_.ancestors(pending.job);
     if (ancestors.size() + 2 <= kv_client_.max_preconditions()) return false;
     if (check_.is_fresh(pending.job)) {
@@ -46,7 +46,7 @@
 
 void JobService::confirm() {
     std::vector<wire::Precondition> preconditions;
-    std::vector<PendingRequest> batch;
+    std::vector<JobRequest> batch;
     std::set<JobId> asked;
     std::set<JobId> required;  // whose ends are
     while (!to_confirm_.empty() && preconditions.size() + preconditions_for(to_confirm_.front()) <=
@@ -69,18 +69,18 @@
         });
 }
 
-void JobService::answer_confirmed(const PendingRequest& pending) {
+void JobService::answer_confirmed(const JobRequest& pending) {
     const auto* known = cache_.find(pending.job);
     if (known && known->record != KeyRevision()) {
         answer_open(pending);
-    } else if (pending.intent == Intent::refuse) {
-        context_.refuse(pending.request, *pending.refusal);
+    } else if (pending.kind == RequestKind::rejected_submission) {
+        context_.refuse(pending.id, *pending.refusal);
     } else {
-        context_.refuse(pending.request, RefusalReason::no_such_job);
+        context_.refuse(pending.id, RefusalReason::no_such_job);
     }
 }
 
-void JobService::confirmed(std::vector<PendingRequest> batch, const kv::TransactionResult& result) {
+void JobService::confirmed(std::vector<JobRequest> batch, const kv::TransactionResult& result) {
     if (result.outcome == TransactionOutcome::ok) {
         for (const auto& pending : batch) answer_confirmed(pending);
         return;
@@ -104,7 +104,7 @@
 }
 
 // What the reads of a job's records have found, for all that asked about it.
-void JobService::looked_up(std::vector<PendingRequest> waiting, const JobLookupResult& result) {
+void JobService::looked_up(std::vector<JobRequest> waiting, const JobLookupResult& result) {
     for (auto& pending : waiting) {
         switch (result.outcome) {
             case JobLookupResult::Outcome::unavailable:
@@ -123,17 +123,17 @@
     }
 }
 
-void JobService::job_known(PendingRequest pending) {
-    pending.intent == Intent::cancel ? commit_cancellation(std::move(pending))
-                                     : enqueue(std::move(pending));
+void JobService::job_known(JobRequest pending) {
+    pending.kind == RequestKind::cancellation ? commit_cancellation(std::move(pending))
+                                              : enqueue(std::move(pending));
 }
 
 // ---- ancestors ----
 
-const std::vector<JobId>& JobService::required_ancestors(const PendingRequest& pending) const {
+const std::vector<JobId>& JobService::required_ancestors(const JobRequest& pending) const {
     static const std::vector<JobId> none;
     if (pending.ancestors_checked) return none;
-    if (pending.intent != Intent::submit) return cache_.ancestors(pending.job);
+    if (pending.kind != RequestKind::submission) return cache_.ancestors(pending.job);
     const auto& submission = pending.submission;
     // A job with parts is looked after by polls and by the leader.
     const bool apart = submission.cancelled || submission.writes.size() > 1;
@@ -141,7 +141,7 @@
 }
 
 // The job's own end, and those of what must be done before it, are not there.
-void JobService::require_no_ends(const PendingRequest& pending, std::set<JobId>& required,
+void JobService::require_no_ends(const JobRequest& pending, std::set<JobId>& required,
                                  std::vector<wire::Precondition>& preconditions) const {
     if (required.insert(pending.job).second)
         preconditions.push_back({terminal_key(pending.job), KeyRevision()});
@@ -150,11 +150,11 @@
     }
 }
 
-std::size_t JobService::preconditions_for(const PendingRequest& pending) const {
+std::size_t JobService::preconditions_for(const JobRequest& pending) const {
     return 2 + required_ancestors(pending).size();
 }
 
-std::vector<JobId> JobService::ended_ancestors(const PendingRequest& pending,
+std::vector<JobId> JobService::ended_ancestors(const JobRequest& pending,
                                                const std::set<std::string>& failed) const {
     std::vector<JobId> out;
     for (const auto& id : required_ancestors(pending)) {
@@ -163,13 +163,13 @@
     return out;
 }
 
-void JobService::ancestor_done(PendingRequest& pending, const JobId& ancestor) {
+void JobService::ancestor_done(JobRequest& pending, const JobId& ancestor) {
     std::erase(pending.submission.record.ancestors, ancestor);
     cache_.remove_ancestor(pending.job, ancestor);
 }
 
 // Of what must be done before the job, those have ended: with one that is cancelled it ends too.
-void JobService::settle_ancestors(PendingRequest pending, const std::vector<JobId>& ended) {
+void JobService::settle_ancestors(JobRequest pending, const std::vector<JobId>& ended) {
     std::vector<std::string> ids;
     ids.reserve(ended.size());
     for (const auto& id : ended) ids.push_back(id.get());
@@ -186,7 +186,7 @@
             any_cancelled = any_cancelled || !done;
             if (done) ancestor_done(pending, id);
         }
-        if (pending.intent == Intent::submit) {
+        if (pending.kind == RequestKind::submission) {
             pending.submission.cancelled = pending.submission.cancelled || any_cancelled;
             prepare(std::move(pending));
         } else if (any_cancelled) {
--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -2,39 +2,48 @@
 
 #include <algorithm>
 #include <iterator>
-#include <optional>
 #include <utility>
 
+#include "api/request_limits.hpp"
 #include "config/record_format.hpp"
 #include "kv/keys.hpp"
 #include "kv/records.hpp"
 
 namespace dunebridge::api {
 
-using kv::job_key;
+using sansio::Refusal;
+using sansio::RefusalReason;
 
 namespace {
-constexpr std::size_t kOverheadBytes = 200;  // of a write and its preconditions
+
+bool is_over_team_limit(const wire::JobSpec& spec, const config::Team& team) {
+    return (team.cpus_max > 0 && spec.cores > team.cpus_max) ||
+           (team.gpus_max > 0 && spec.accelerators > team.gpus_max);
+}
+
+bool fits(const wire::JobSpec& spec, const wire::MachineType& type) {
+    const auto& zones = type.zones;
+    if (spec.zone && std::find(zones.begin(), zones.end(), *spec.zone) == zones.end()) return false;
+    return wire::can_hold(type, {spec.cores, spec.accelerators, spec.ram_gb}, spec.machine_types);
+}
+
 }  // namespace
 
-std::string why_never_runs(const wire::JobSpec& spec, const config::Config& config,
-                           const std::vector<wire::MachineType>& types) {
+std::optional<Refusal> refuse_never_runnable(const wire::JobSpec& spec,
+                                             const config::Config& config,
+                                             const std::vector<wire::MachineType>& types) {
     const auto* team = config.find_team(spec.team);
-    if (!team) return "unknown team";
-    if (team->cpus_max > 0 && spec.cores > team->cpus_max) return "over the team's limit";
-    if (team->gpus_max > 0 && spec.accelerators > team->gpus_max) return "over the team's limit";
-    const bool fits = std::any_of(types.begin(), types.end(), [&](const auto& type) {
-        const auto& zones = type.zones;
-        if (spec.zone && std::find(zones.begin(), zones.end(), *spec.zone) == zones.end()) {
-            return false;
-        }
-        return wire::can_hold(type, {spec.cores, spec.accelerators, spec.ram_gb},
-                              spec.machine_types);
-    });
-    return fits ? "" : "fits no allowed machine type";
+    if (!team) return Refusal(RefusalReason::never_runnable, "unknown team");
+    if (is_over_team_limit(spec, *team)) {
+        return Refusal(RefusalReason::never_runnable, "over the team's limit");
+    }
+    const bool fits_some =
+        std::any_of(types.begin(), types.end(), [&](const auto& type) { return fits(spec, type); });
+    if (!fits_some) return Refusal(RefusalReason::never_runnable, "fits no allowed machine type");
+    return std::nullopt;
 }
 
-std::string cancelled_record(std::int64_t now_ms) {
+std::string cancellation_record(std::int64_t now_ms) {
     return encode(kv::TerminalRecord{wire::JobPhase::cancelled, std::nullopt, now_ms}).packed;
 }
 
@@ -46,60 +55,69 @@
     const auto& spec = submission.record.spec;
     if (submission.cancelled) {
         submission.writes.push_back(
-            {kv::terminal_key(spec.id), cancelled_record(now_ms), std::nullopt});
+            {kv::terminal_key(spec.id), cancellation_record(now_ms), std::nullopt});
     } else if (!prepare_one_record(submission)) {
         if (spec.waits_on.empty()) return Preparation::too_large;
         // An older leader would not find the parts, and start the tasks early.
-        if (format < config::kSplitDependencyFormat) return Preparation::later;
-        if (!prepare_parts(submission)) return Preparation::too_many_jobs;
+        if (format < config::kSplitDependencyFormat) return Preparation::format_not_in_force;
+        if (!prepare_parts(submission)) return Preparation::too_many_ancestors;
     }
     for (const auto& write : submission.writes) {
-        submission.bytes += write.value.value_or("").size() + kOverheadBytes;
+        submission.bytes += write.value.value_or("").size() + kWriteOverheadBytes;
     }
     return Preparation::ready;
 }
 
-// All in the job's own record, if it fits and one transaction can guard all ancestors' ends.
+// All in the job record, if it fits and one transaction can guard all ancestors.
 bool SubmissionRecords::prepare_one_record(Submission& submission) const {
     const auto& record = submission.record;
     auto packed = encode(record);
     if (packed.json_size > config_.kv_limits.value_bytes()) return false;
-    if (record.ancestors.size() + 2 > config_.kv_limits.max_preconditions()) return false;
-    submission.writes.push_back({job_key(record.spec.id), std::move(packed.packed), std::nullopt});
+    const auto preconditions = kOwnPreconditions + record.ancestors.size();
+    if (preconditions > config_.kv_limits.max_preconditions()) return false;
+    submission.writes.push_back(
+        {kv::job_key(record.spec.id), std::move(packed.packed), std::nullopt});
     return true;
 }
 
-// What it depends on directly in records of its own, and as many of the others before it as one
-// transaction can write; those left out reach it through the leader alone.
 bool SubmissionRecords::prepare_parts(Submission& submission) const {
-    const auto& ancestors = submission.record.ancestors;
-    const auto& named = submission.record.spec.waits_on;
-    std::vector<JobId> direct;
-    std::vector<JobId> further;
-    for (const auto& id : ancestors) {
-        (std::binary_search(named.begin(), named.end(), id) ? direct : further).push_back(id);
-    }
-    const auto most = config_.kv_limits.txn_ops() - 1;
-    const auto limit = config_.kv_limits.value_bytes();
-    auto parts = kv::encode_dependency_parts(direct, true, limit);
-    if (parts.size() > most) return false;
-    auto rest = kv::encode_dependency_parts(further, false, limit);
-    rest.resize(std::min(rest.size(), most - parts.size()));
-    std::move(rest.begin(), rest.end(), std::back_inserter(parts));
-
+    auto parts = encode_parts(submission.record);
+    if (!parts) return false;
     auto record = submission.record;
     record.spec.waits_on.clear();
     record.ancestors.clear();
-    record.dependency_parts = parts.size();
+    record.dependency_parts = parts->size();
     auto packed = encode(record);
-    if (packed.json_size > limit) return false;
+    if (packed.json_size > config_.kv_limits.value_bytes()) return false;
     const auto& id = record.spec.id;
-    submission.writes.push_back({job_key(id), std::move(packed.packed), std::nullopt});
-    for (std::size_t n = 0; n < parts.size(); ++n) {
+    submission.writes.push_back({kv::job_key(id), std::move(packed.packed), std::nullopt});
+    for (std::size_t n = 0; n < parts->size(); ++n) {
         submission.writes.push_back(
-            {kv::dependency_key(id, n), std::move(parts[n].packed), std::nullopt});
+            {kv::dependency_key(id, n), std::move((*parts)[n].packed), std::nullopt});
     }
     return true;
 }
 
+// The direct dependencies, and as many of the further ancestors as one transaction can write; a
+// cancellation of one that is left out reaches the job through the leader alone. None if not even
+// the direct dependencies fit.
+std::optional<std::vector<kv::PackedRecord>> SubmissionRecords::encode_parts(
+    const kv::JobRecord& record) const {
+    const auto& named = record.spec.waits_on;
+    std::vector<JobId> direct;
+    std::vector<JobId> further;
+    for (const auto& id : record.ancestors) {
+        const bool is_direct = std::binary_search(named.begin(), named.end(), id);
+        (is_direct ? direct : further).push_back(id);
+    }
+    const auto max_parts = config_.kv_limits.txn_ops() - 1;  // one write is for the job record
+    const auto max_bytes = config_.kv_limits.value_bytes();
+    auto parts = kv::encode_dependency_parts(direct, true, max_bytes);
+    if (parts.size() > max_parts) return std::nullopt;
+    auto further_parts = kv::encode_dependency_parts(further, false, max_bytes);
+    further_parts.resize(std::min(further_parts.size(), max_parts - parts.size()));
+    std::move(further_parts.begin(), further_parts.end(), std::back_inserter(parts));
+    return parts;
+}
+
 }  // namespace dunebridge::api
--- a/src/api/submission_records.hpp
+++ b/src/api/submission_records.hpp
@@ -1,43 +1,50 @@
-// What a submission writes to the state service: the job's record, with all of its dependencies if
-// they fit, else with records of their own beside it.
+/// \file
+/// What a submission writes to the key-value store: the job record, with all of the job's
+/// dependencies if they fit, else with records of their own beside it.
 #pragma once
 
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <vector>
 
-#include "api/pending_request.hpp"
+#include "api/job_request.hpp"
 #include "config/config.hpp"
+#include "sansio/refusal.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::api {
 
-// Why a job can never run; empty if it can.
-std::string why_never_runs(const wire::JobSpec& spec, const config::Config& config,
-                           const std::vector<wire::MachineType>& types);
+/// The refusal of a job that can never run: its team is unknown, or its tasks are larger than the
+/// team's limit or than every machine type that it allows. None if it can run.
+std::optional<sansio::Refusal> refuse_never_runnable(const wire::JobSpec& spec,
+                                                     const config::Config& config,
+                                                     const std::vector<wire::MachineType>& types);
 
 enum class Preparation : std::uint8_t {
     ready,
-    too_large,      // the description is larger than a record may be
-    too_many_jobs,  // it depends on more jobs than one transaction can write
-    later           // it needs a format of the ledger that is not in force yet
+    too_large,           ///< The job's description is larger than a record may be.
+    too_many_ancestors,  ///< It directly depends on more jobs than one transaction can write.
+    format_not_in_force  ///< It needs a record format that is not in force yet.
 };
 
 class SubmissionRecords {
   public:
     explicit SubmissionRecords(const config::Config& config) : config_(config) {}
 
-    // Fills in the writes, for a ledger in that format; `now_ms` is the time of day.
+    /// Fills in the submission's writes, for a store in that record format. `now_ms` is the time of
+    /// day, in milliseconds since the epoch. May be repeated when the ancestors have changed.
     Preparation prepare(Submission& submission, std::uint64_t format, std::int64_t now_ms) const;
 
   private:
     bool prepare_one_record(Submission& submission) const;
     bool prepare_parts(Submission& submission) const;
+    std::optional<std::vector<kv::PackedRecord>> encode_parts(const kv::JobRecord& record) const;
 
     const config::Config& config_;
 };
 
-// The record of a cancellation by a node that does not know how many tasks the job has.
-std::string cancelled_record(std::int64_t now_ms);
+/// The terminal record of a cancellation by a node that does not know how many tasks the job has.
+std::string cancellation_record(std::int64_t now_ms);
 
 }  // namespace dunebridge::api
--- a/src/api/submissions.cpp
+++ b/src/api/submissions.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "api/job_service.hpp"
-#include "api/timeouts.hpp"
+#include "api/request_limits.hpp"
 #include "config/record_format.hpp"
 #include "kv/keys.hpp"
 
@@ -15,11 +15,6 @@
 using wire::JobPhase;
 using wire::JobStatus;
 
-namespace {
-constexpr int kMaxCreating = 2;
-constexpr std::size_t kTransactionBytes = std::size_t{30} * 1024;
-}  // namespace
-
 void JobService::submit(RequestId request, const std::string& body) {
     const auto document = wire::Document::parse(body);
     const auto id = document ? wire::peek_job_id(document->root()) : std::nullopt;
@@ -27,7 +22,7 @@
         context_.refuse(request, RefusalReason::malformed);
         return;
     }
-    auto pending = new_request(request, *id, Intent::submit);
+    auto pending = new_request(request, *id, RequestKind::submission);
     if (answer_if_ended(pending)) return;
     if (!decode_submission(pending, document->root())) {
         if (pending.refusal) {
@@ -44,12 +39,11 @@
 }
 
 // False if it is refused, or, without a refusal, cannot be decided yet.
-bool JobService::decode_submission(PendingRequest& pending, wire::Value body) {
+bool JobService::decode_submission(JobRequest& pending, wire::Value body) {
     try {
         auto spec = wire::decode_job(body);
         if (types_.empty()) return false;
-        const auto why = why_never_runs(spec, config_, types_);
-        if (!why.empty()) pending.refusal.emplace(RefusalReason::never_runnable, why);
+        pending.refusal = refuse_never_runnable(spec, config_, types_);
         pending.submission.record.spec = std::move(spec);
     } catch (const wire::DecodeError& e) {
         pending.refusal.emplace(RefusalReason::malformed, e.what());
@@ -58,8 +52,8 @@
 }
 
 // A known id is answered with its state, whatever the submission carries; else this is the answer.
-void JobService::refuse(PendingRequest pending, sansio::Refusal refusal) {
-    pending.intent = Intent::refuse;
+void JobService::refuse(JobRequest pending, sansio::Refusal refusal) {
+    pending.kind = RequestKind::rejected_submission;
     pending.refusal = std::move(refusal);
     enqueue(std::move(pending));
 }
@@ -68,7 +62,7 @@
 
 // A version that does not know chains would start its tasks early: until none can lead any more,
 // the submission is refused for the time being.
-void JobService::submit_dependent(PendingRequest pending) {
+void JobService::submit_dependent(JobRequest pending) {
     if (format_ >= config::kNewestFormat) {
         look_up_dependencies(std::move(pending));
         return;
@@ -83,14 +77,14 @@
                    });
 }
 
-void JobService::look_up_dependencies(PendingRequest pending) {
+void JobService::look_up_dependencies(JobRequest pending) {
     const auto& dependencies = pending.submission.record.spec.waits_on;
     if (std::find(dependencies.begin(), dependencies.end(), pending.job) != dependencies.end()) {
         refuse(std::move(pending), {RefusalReason::never_runnable, "it waits on itself"});
         return;
     }
     const auto list = dependencies;  // `pending` is moved from
-    const auto deadline = pending.since + kLookupTimeout;
+    const auto deadline = pending.received_at + kDependencyLookupTimeout;
     lookup_.start(list, deadline,
                   [this, pending = std::move(pending)](const DependencyResult& found) mutable {
                       if (found.outcome == DependencyResult::Outcome::unavailable) {
@@ -108,7 +102,7 @@
 
 // ---- records ----
 
-void JobService::prepare(PendingRequest pending) {
+void JobService::prepare(JobRequest pending) {
     switch (records_.prepare(pending.submission, format_, context_.wall_ms())) {
         case Preparation::ready:
             enqueue(std::move(pending));
@@ -117,11 +111,11 @@
             refuse(std::move(pending),
                    {RefusalReason::never_runnable, "its description is larger than can be kept"});
             break;
-        case Preparation::too_many_jobs:
+        case Preparation::too_many_ancestors:
             refuse(std::move(pending),
                    {RefusalReason::never_runnable, "it waits on more jobs than can be kept"});
             break;
-        case Preparation::later:
+        case Preparation::format_not_in_force:
             answer_unavailable(pending);
             break;
     }
@@ -129,16 +123,16 @@
 
 // ---- transactions ----
 
-bool JobService::fits_transaction(const PendingRequest& pending, std::size_t preconditions,
+bool JobService::fits_transaction(const JobRequest& pending, std::size_t preconditions,
                                   std::size_t writes, std::size_t bytes) const {
     if (writes == 0) return true;  // whatever it takes, it was made to fit one alone
     return preconditions + preconditions_for(pending) <= kv_client_.max_preconditions() &&
            writes + pending.submission.writes.size() <= config_.kv_limits.txn_ops() &&
-           bytes + pending.submission.bytes <= kTransactionBytes;
+           bytes + pending.submission.bytes <= kMaxTransactionBytes;
 }
 
 void JobService::create_jobs() {
-    while (!to_create_.empty() && creating_ < kMaxCreating) {
+    while (!to_create_.empty() && creating_ < kMaxWriteTransactions) {
         std::size_t wanted = 0;
         for (const auto& pending : to_create_) wanted += pending.submission.writes.size();
         const auto changes = static_cast<double>(std::min(wanted, config_.kv_limits.txn_ops()));
@@ -148,7 +142,7 @@
         }
         std::vector<wire::Precondition> preconditions;
         std::vector<wire::Write> writes;
-        std::vector<PendingRequest> batch;
+        std::vector<JobRequest> batch;
         std::set<JobId> asked;
         std::set<JobId> required;  // whose ends are
         std::size_t bytes = 0;
@@ -175,7 +169,7 @@
     }
 }
 
-void JobService::answer_created(const PendingRequest& pending, KeyRevision rev) {
+void JobService::answer_created(const JobRequest& pending, KeyRevision rev) {
     JobStatus status{pending.job, JobPhase::pending, 0, 0};
     if (pending.submission.cancelled) {
         // Accepted all the same; nothing of it is anywhere.
@@ -185,11 +179,10 @@
         cache_.set_record(pending.job, rev);
         cache_.set_ancestors(pending.job, pending.submission.record.ancestors);
     }
-    context_.respond(pending.request, 201, wire::encode(status));
+    context_.respond(pending.id, 201, wire::encode(status));
 }
 
-void JobService::jobs_created(std::vector<PendingRequest> batch,
-                              const kv::TransactionResult& result) {
+void JobService::jobs_created(std::vector<JobRequest> batch, const kv::TransactionResult& result) {
     const std::set<std::string> failed(result.failed.begin(), result.failed.end());
     for (auto& pending : batch) {
         if (result.outcome == TransactionOutcome::ok) {
@@ -203,7 +196,7 @@
             answer_unavailable(pending);
         } else if (failed.contains(job_key(pending.job)) ||
                    failed.contains(terminal_key(pending.job))) {
-            pending.intent = Intent::poll;
+            pending.kind = RequestKind::poll;
             lookup_records_.start(std::move(pending), JobLookup::FirstRead::terminal_record);
         } else {
             const auto ended = ended_ancestors(pending, failed);
