--- /dev/null
+++ b/src/api/linearizable_read_queue.cpp
@@ -0,0 +1,66 @@
+#include "api/linearizable_read_queue.hpp"
+
+#include "api/request_limits.hpp"
+#include "kv/keys.hpp"
+
+namespace dunebridge::api {
+
+LinearizableReadQueue::LinearizableReadQueue(kv::KvClient& kv_client, JobCache& cache,
+                                             JobResponder& responder, RequestPipeline& pipeline)
+    : kv_client_(kv_client), cache_(cache), responder_(responder), pipeline_(pipeline) {}
+
+bool LinearizableReadQueue::may_send() const {
+    return !queue_.empty() && in_flight_ < kMaxReadTransactions;
+}
+
+void LinearizableReadQueue::drop_front_while(const DropRequest& drop) {
+    while (!queue_.empty() && drop(queue_.front())) queue_.pop_front();
+}
+
+void LinearizableReadQueue::send() {
+    BatchPreconditions preconditions(cache_);
+    std::vector<JobRequest> requests;
+    while (!queue_.empty() &&
+           preconditions.size_with(queue_.front()) <= kv_client_.max_preconditions()) {
+        auto request = std::move(queue_.front());
+        queue_.pop_front();
+        const auto* known = cache_.find(request.job);
+        preconditions.add(request, known ? known->record : KeyRevision());
+        requests.push_back(std::move(request));
+    }
+    ++in_flight_;
+    kv_client_.compare_and_swap(
+        preconditions.all(), {}, kReadTimeout,
+        [this, requests = std::move(requests)](const kv::TransactionResult& result) mutable {
+            --in_flight_;
+            handle_result(std::move(requests), result);
+        });
+}
+
+void LinearizableReadQueue::handle_result(std::vector<JobRequest> requests,
+                                          const kv::TransactionResult& result) {
+    const FailedKeys failed(result.failed.begin(), result.failed.end());
+    for (auto& request : requests) {
+        if (result.outcome == kv::TransactionOutcome::ok) {
+            responder_.respond_confirmed(request);
+        } else if (result.outcome == kv::TransactionOutcome::conflict) {
+            handle_conflict(std::move(request), failed);
+        } else {
+            responder_.respond_unavailable(request);
+        }
+    }
+}
+
+// Only the keys named as failed are known to differ; the rest is asked again.
+void LinearizableReadQueue::handle_conflict(JobRequest request, const FailedKeys& failed) {
+    if (failed.contains(kv::terminal_key(request.job))) {
+        pipeline_.look_up(std::move(request), JobLookup::FirstRead::terminal_record);
+    } else if (failed.contains(kv::job_key(request.job))) {
+        pipeline_.look_up(std::move(request), JobLookup::FirstRead::job_record);
+    } else {
+        auto terminal = terminal_ancestors(request, cache_, failed);
+        pipeline_.resolve_ancestors(std::move(request), std::move(terminal));
+    }
+}
+
+}  // namespace dunebridge::api
