--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -191,7 +191,7 @@
     state_.set_loaded();
     link_dependencies();
     context_.log(sansio::LogLevel::info,
-                 "event=state_loaded term={} jobs={} machines={} open_rentals={}",
+                 "event=state_loaded term={} jobs={} machines={} open_scale_outs={}",
                  election_.term().get(), state_.jobs().size(), state_.machines().size(),
                  state_.unanswered_scale_outs().size());
     follower_.start(first_revision_, started_at_);
