--- a/src/provisioning/cloud_client.cpp
+++ b/src/provisioning/cloud_client.cpp
@@ -11,28 +11,28 @@
 
 namespace {
 constexpr Millis kTimeout{5000};
-// The other controllers' share of the cloud's rate is for the machine types.
-constexpr double kShare = 0.8;
+// The rest of the cloud's rate is left to the other controllers, which fetch the machine types.
+constexpr double kLeaderShare = 0.8;
 constexpr const char* kNoCapacity = "no capacity";
 
-// What the decoder makes of the body of a good reply; none if there is no such reply. Bad bodies
-// are logged under the event's name.
+// The decoded body of a successful response; none if there is no such response or its body is
+// invalid. Invalid bodies are logged under the event's name.
 template <class Decode>
-auto read_reply(sansio::Context& port, const HttpResult& reply, const char* bad_event,
-                Decode decode) -> std::optional<std::invoke_result_t<Decode, wire::Value>> {
-    if (!reply.ok()) return std::nullopt;
+auto decode_response(sansio::Context& context, const HttpResult& response, const char* bad_event,
+                     Decode decode) -> std::optional<std::invoke_result_t<Decode, wire::Value>> {
+    if (!response.ok()) return std::nullopt;
     try {
-        const auto doc = wire::Document::need(reply.body);
+        const auto doc = wire::Document::need(response.body);
         return decode(doc.root());
     } catch (const wire::DecodeError& e) {
-        port.log(LogLevel::error, "event={} error=\"{}\"", bad_event, e.what());
+        context.log(LogLevel::error, "event={} error=\"{}\"", bad_event, e.what());
         return std::nullopt;
     }
 }
 }  // namespace
 
-CloudClient::CloudClient(sansio::Context& port, double requests_per_second)
-    : context_(port), budget_(kShare * requests_per_second) {}
+CloudClient::CloudClient(sansio::Context& context, double requests_per_second)
+    : context_(context), budget_(kLeaderShare * requests_per_second) {}
 
 bool CloudClient::take_request() {
     if (budget_.take(1, context_.now())) return true;
@@ -40,52 +40,51 @@
     return false;
 }
 
-void CloudClient::machine_types(
-    std::function<void(std::optional<std::vector<wire::MachineType>>)> then) {
-    context_.call(
-        Destination::cloud, {}, "GET", "/machine_types", {}, kTimeout,
-        [this, then = std::move(then)](const HttpResult& reply) {
-            then(read_reply(context_, reply, "invalid_machine_types", wire::decode_machine_types));
-        });
+void CloudClient::machine_types(OnMachineTypes on_response) {
+    context_.call(Destination::cloud, {}, "GET", "/machine_types", {}, kTimeout,
+                  [this, on_response = std::move(on_response)](const HttpResult& response) {
+                      on_response(decode_response(context_, response, "invalid_machine_types",
+                                                  wire::decode_machine_types));
+                  });
 }
 
-void CloudClient::list_machines(const std::string& after,
-                                std::function<void(std::optional<wire::MachineListPage>)> then) {
+void CloudClient::list_machines(const std::string& after, OnMachineList on_response) {
     auto target = std::string("/rentals?page=500");
     if (!after.empty()) target += "&from=" + after;
-    context_.call(
-        Destination::cloud, {}, "GET", std::move(target), {}, kTimeout,
-        [this, then = std::move(then)](const HttpResult& reply) {
-            then(read_reply(context_, reply, "invalid_machine_list", wire::decode_machine_list));
-        });
+    context_.call(Destination::cloud, {}, "GET", std::move(target), {}, kTimeout,
+                  [this, on_response = std::move(on_response)](const HttpResult& response) {
+                      on_response(decode_response(context_, response, "invalid_machine_list",
+                                                  wire::decode_machine_list));
+                  });
 }
 
-void CloudClient::rent(const wire::ScaleOutRequest& request,
-                       std::function<void(const ScaleOutResult&)> then) {
-    context_.call(
-        Destination::cloud, {}, "POST", "/rentals", wire::encode(request), kTimeout,
-        [this, then = std::move(then)](const HttpResult& reply) { then(read_rental(reply)); });
+void CloudClient::provision(const wire::ScaleOutRequest& request, OnScaleOut on_response) {
+    context_.call(Destination::cloud, {}, "POST", "/rentals", wire::encode(request), kTimeout,
+                  [this, on_response = std::move(on_response)](const HttpResult& response) {
+                      on_response(read_scale_out(response));
+                  });
 }
 
-ScaleOutResult CloudClient::read_rental(const HttpResult& reply) {
+ScaleOutResult CloudClient::read_scale_out(const HttpResult& response) {
     using Outcome = ScaleOutResult::Outcome;
-    if (reply.ok()) {
-        auto hosts = read_reply(context_, reply, "invalid_scale_out_response", wire::decode_hosts);
-        // Machines that a bad answer does not name are found by their reports and the list.
+    if (response.ok()) {
+        auto hosts =
+            decode_response(context_, response, "invalid_scale_out_response", wire::decode_hosts);
+        // Machines that an invalid body does not name are found by their heartbeats and the list.
         return {Outcome::granted, hosts ? std::move(*hosts) : std::vector<MachineName>()};
     }
-    if (reply.status == 400) return {Outcome::invalid, {}};
-    const auto doc = wire::Document::parse(reply.body);
+    if (response.status == 400) return {Outcome::invalid, {}};
+    const auto doc = wire::Document::parse(response.body);
     const bool no_capacity =
-        reply.status == 503 && doc && doc->root()["error"].text() == kNoCapacity;
+        response.status == 503 && doc && doc->root()["error"].text() == kNoCapacity;
     return {no_capacity ? Outcome::no_capacity : Outcome::unknown, {}};
 }
 
-void CloudClient::delete_machines(const std::vector<MachineName>& hosts,
-                                  std::function<void(bool)> then) {
+void CloudClient::delete_machines(const std::vector<MachineName>& hosts, OnDeletion on_response) {
     context_.call(Destination::cloud, {}, "POST", "/rentals/delete", wire::encode_hosts(hosts),
-                  kTimeout,
-                  [then = std::move(then)](const HttpResult& reply) { then(reply.ok()); });
+                  kTimeout, [on_response = std::move(on_response)](const HttpResult& response) {
+                      on_response(response.ok());
+                  });
 }
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/machine_inventory.cpp
+++ b/src/provisioning/machine_inventory.cpp
@@ -9,61 +9,60 @@
 using sansio::LogLevel;
 
 namespace {
-constexpr Millis kEvery{4000};
-// Of the cloud's rate: a long list leaves most of it to rentals and deletions.
-constexpr double kShare = 0.25;
+constexpr Millis kReadInterval{4000};
+// Of the cloud's rate: a long list leaves most of it to scale-out and deletions.
+constexpr double kRateShare = 0.25;
 constexpr Millis kPagePause{200};
 }  // namespace
 
-MachineInventory::MachineInventory(sansio::Context& port, CloudClient& cloud,
+MachineInventory::MachineInventory(sansio::Context& context, CloudClient& cloud,
                                    state::ClusterState& cluster_state,
                                    const state::ReleasedMachines& released_machines,
-                                   const config::Config& config,
-                                   std::function<void(state::Machine&)> failed)
-    : context_(port),
+                                   const config::Config& config, OnMachineFailed on_machine_failed)
+    : context_(context),
       cloud_(cloud),
       state_(cluster_state),
       released_machines_(released_machines),
       config_(config),
-      failed_(std::move(failed)) {}
+      on_machine_failed_(std::move(on_machine_failed)) {}
 
 void MachineInventory::reset() {
     reading_ = false;
-    next_ = Instant{};
+    next_read_ = Instant{};
 }
 
 void MachineInventory::tick() {
-    if (!reading_ && context_.now() >= next_ && cloud_.take_request()) start();
-    context_.request_wake(next_);
+    if (!reading_ && context_.now() >= next_read_ && cloud_.take_request()) start();
+    context_.request_wake(next_read_);
 }
 
 void MachineInventory::start() {
     reading_ = true;
     seen_.clear();
-    pages_ = 0;
+    pages_read_ = 0;
     read_page({}, state_.generation());
 }
 
 void MachineInventory::read_page(const std::string& after, std::uint64_t generation) {
     if (!state_.usable_in(generation)) return;
     // Each page is a request; the first has been taken from the budget.
-    if (pages_ > 0 && !cloud_.take_request()) {
+    if (pages_read_ > 0 && !cloud_.take_request()) {
         context_.after(kPagePause, [this, after, generation] { read_page(after, generation); });
         return;
     }
-    ++pages_;
+    ++pages_read_;
     cloud_.list_machines(
         after, [this, generation](const std::optional<wire::MachineListPage>& page) {
             if (!state_.usable_in(generation)) return;
             reading_ = false;
-            const auto share_of_rate = from_seconds(pages_ / (kShare * config_.cloud_rps));
-            next_ = context_.now() + std::max(kEvery, share_of_rate);
-            if (page) take_page(*page, generation);
+            const auto share_of_rate = from_seconds(pages_read_ / (kRateShare * config_.cloud_rps));
+            next_read_ = context_.now() + std::max(kReadInterval, share_of_rate);
+            if (page) apply_page(*page, generation);
         });
 }
 
-void MachineInventory::take_page(const wire::MachineListPage& page, std::uint64_t generation) {
-    for (const auto& row : page.hosts) take_row(row);
+void MachineInventory::apply_page(const wire::MachineListPage& page, std::uint64_t generation) {
+    for (const auto& row : page.hosts) apply_row(row);
     if (page.has_next && !page.hosts.empty()) {
         reading_ = true;
         read_page(page.hosts.back().host.get(), generation);
@@ -72,7 +71,7 @@
     count_missing();
 }
 
-void MachineInventory::take_row(const wire::MachineListing& row) {
+void MachineInventory::apply_row(const wire::MachineListing& row) {
     seen_.insert(row.host);
     if (released_machines_.contains(row.host)) return;  // the list is late
     auto* machine = state_.find_machine(row.host);
@@ -96,7 +95,7 @@
     // A failed machine has stopped: whatever was on it is gone.
     instance.failed = true;
     while (!machine->tasks.empty()) state_.remove(*machine, machine->tasks.begin()->first);
-    failed_(*machine);
+    on_machine_failed_(*machine);
 }
 
 void MachineInventory::count_missing() {
--- a/src/provisioning/machine_inventory.hpp
+++ b/src/provisioning/machine_inventory.hpp
@@ -1,4 +1,5 @@
-// Follows the cloud's list of machines. It is late, and a row that is missing proves nothing.
+/// \file
+/// Follows the cloud's list of machines.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +16,32 @@
 
 namespace dunebridge::provisioning {
 
+/// Reads the cloud's machine list page by page, now and then, and takes it into the cluster state.
+///
+/// The list lags behind: a machine that is missing from it may exist, and so a missing row proves
+/// nothing by itself. Only a row that reports a machine as failed proves that its tasks are gone.
+/// The references must outlive it.
 class MachineInventory {
   public:
-    // `failed` is called for machines that the cloud reports as failed, once each.
-    MachineInventory(sansio::Context& port, CloudClient& cloud, state::ClusterState& cluster_state,
+    /// Called once for each machine that the cloud reports as failed, after its tasks have been
+    /// removed from the cluster state.
+    using OnMachineFailed = std::function<void(state::Machine&)>;
+
+    MachineInventory(sansio::Context& context, CloudClient& cloud,
+                     state::ClusterState& cluster_state,
                      const state::ReleasedMachines& released_machines, const config::Config& config,
-                     std::function<void(state::Machine&)> failed);
+                     OnMachineFailed on_machine_failed);
 
+    /// Begins to read the list if that is due. To be called in every pass on the leader.
     void tick();
-    // Another term begins.
+    /// Another term begins: the list is read again at once.
     void reset();
 
   private:
     void start();
     void read_page(const std::string& after, std::uint64_t generation);
-    void take_page(const wire::MachineListPage& page, std::uint64_t generation);
-    void take_row(const wire::MachineListing& row);
+    void apply_page(const wire::MachineListPage& page, std::uint64_t generation);
+    void apply_row(const wire::MachineListing& row);
     void count_missing();
 
     sansio::Context& context_;
@@ -38,11 +49,11 @@
     state::ClusterState& state_;
     const state::ReleasedMachines& released_machines_;
     const config::Config& config_;
-    std::function<void(state::Machine&)> failed_;
+    OnMachineFailed on_machine_failed_;
     bool reading_ = false;
-    Instant next_{};
+    Instant next_read_{};
     std::set<MachineName> seen_;
-    int pages_ = 0;
+    int pages_read_ = 0;
 };
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -9,24 +9,24 @@
 using sansio::LogLevel;
 
 namespace {
-constexpr Millis kRetry{1000};
-// For how long a market that refused is left alone, at first and at most.
-constexpr Millis kRefusedPause{15000};
-constexpr Millis kMaxRefusedPause{60000};
+constexpr Millis kRetryDelay{1000};
+// The first and the longest backoff of a pool that has refused.
+constexpr Millis kMinBackoff{15000};
+constexpr Millis kMaxBackoff{60000};
 constexpr std::uint64_t kMaxMachinesPerRequest = 50;
-// The record of a rental names its machines: its size without any, and for each.
+// The record of a request names its machines: its size without any, and for each one.
 constexpr std::size_t kRecordBytes = 400;
 constexpr std::size_t kHostBytes = 30;
 
-InstancePool market_of(const wire::ScaleOutRequest& request) {
+InstancePool pool_of(const wire::ScaleOutRequest& request) {
     return {request.machine_type, request.zone, request.spot};
 }
 }  // namespace
 
-ScaleOut::ScaleOut(sansio::Context& port, CloudClient& cloud, coordination::Election& election,
+ScaleOut::ScaleOut(sansio::Context& context, CloudClient& cloud, coordination::Election& election,
                    state::ClusterState& cluster_state,
                    const state::ReleasedMachines& released_machines, const config::Config& config)
-    : context_(port),
+    : context_(context),
       cloud_(cloud),
       election_(election),
       state_(cluster_state),
@@ -48,10 +48,10 @@
         {key, pool.machine_type, pool.zone, pool.spot, std::min<std::uint64_t>(count, most)});
 }
 
-// Keys of different terms never meet.
+// The term keeps keys of different leaders apart.
 std::string ScaleOut::key_prefix() const { return fmt::format("{}-", election_.term().get()); }
 
-bool ScaleOut::asked_in_this_term(const std::string& idempotency_key) const {
+bool ScaleOut::requested_in_this_term(const std::string& idempotency_key) const {
     return idempotency_key.starts_with(key_prefix());
 }
 
@@ -59,15 +59,15 @@
     std::map<InstancePool, std::size_t> out;
     for (const auto& key : state_.unanswered_scale_outs()) {
         const auto& request = state_.rentals().at(key).request;
-        out[market_of(request)] += request.how_many;
+        out[pool_of(request)] += request.how_many;
     }
     return out;
 }
 
 std::set<InstancePool> ScaleOut::in_backoff() const {
     std::set<InstancePool> out;
-    for (const auto& [pool, refusal] : refusals_) {
-        if (context_.now() < refusal.until) out.insert(pool);
+    for (const auto& [pool, backoff] : backoffs_) {
+        if (context_.now() < backoff.until) out.insert(pool);
     }
     return out;
 }
@@ -87,45 +87,53 @@
         if (!cloud_.take_request()) return;
         in_flight_.insert(key);
         const auto& request = state_.rentals().at(key).request;
-        cloud_.rent(request, [this, request,
-                              generation = state_.generation()](const ScaleOutResult& result) {
-            if (state_.usable_in(generation)) answered(request, result);
+        cloud_.provision(request, [this, request,
+                                   generation = state_.generation()](const ScaleOutResult& result) {
+            if (state_.usable_in(generation)) handle_response(request, result);
         });
     }
 }
 
-void ScaleOut::answered(const wire::ScaleOutRequest& request, const ScaleOutResult& result) {
+void ScaleOut::handle_response(const wire::ScaleOutRequest& request, const ScaleOutResult& result) {
     const auto& key = request.idempotency_key;
     in_flight_.erase(key);
     if (result.outcome == ScaleOutResult::Outcome::unknown) {
-        retry_at_[key] = context_.now() + kRetry + context_.jitter(kRetry);
+        retry_at_[key] = context_.now() + kRetryDelay + context_.jitter(kRetryDelay);
         return;
     }
-    const auto pool = market_of(request);
-    const bool granted = result.outcome == ScaleOutResult::Outcome::granted;
-    const bool partly = granted && result.hosts.size() < request.how_many;
-    if (partly || result.outcome == ScaleOutResult::Outcome::no_capacity) {
-        refused(pool);
-    } else {
-        refusals_.erase(pool);
-    }
+    update_backoff(request, result);
     context_.log(LogLevel::info, "event=scale_out key={} type={} zone={} spot={} wanted={} got={}",
                  key, request.machine_type, request.zone, request.spot, request.how_many,
                  result.hosts.size());
     retry_at_.erase(key);
+    add_machines(key, result);
+}
+
+void ScaleOut::update_backoff(const wire::ScaleOutRequest& request, const ScaleOutResult& result) {
+    using Outcome = ScaleOutResult::Outcome;
+    const auto pool = pool_of(request);
+    const bool partly_granted =
+        result.outcome == Outcome::granted && result.hosts.size() < request.how_many;
+    if (!partly_granted && result.outcome != Outcome::no_capacity) {
+        backoffs_.erase(pool);
+        return;
+    }
+    auto& backoff = backoffs_[pool];
+    backoff.duration = std::clamp(backoff.duration * 2, kMinBackoff, kMaxBackoff);
+    backoff.until = context_.now() + backoff.duration;
+}
+
+void ScaleOut::add_machines(const std::string& idempotency_key, const ScaleOutResult& result) {
     auto hosts = result.hosts;
+    // A repeated request may name machines that have been deleted since.
     std::erase_if(hosts, [&](const auto& host) { return released_machines_.contains(host); });
-    state_.scale_out_answered(key, hosts);
+    state_.scale_out_answered(idempotency_key, hosts);
     for (const auto& host : hosts) {
         auto* machine = state_.find_machine(host);
-        if (machine && asked_in_this_term(key)) machine->instance.boot_tracked = true;
+        if (machine && requested_in_this_term(idempotency_key)) {
+            machine->instance.boot_tracked = true;
+        }
     }
 }
 
-void ScaleOut::refused(const InstancePool& pool) {
-    auto& refusal = refusals_[pool];
-    refusal.pause = std::clamp(refusal.pause * 2, kRefusedPause, kMaxRefusedPause);
-    refusal.until = context_.now() + refusal.pause;
-}
-
 }  // namespace dunebridge::provisioning
