--- a/src/controller/leadership_guard.cpp
+++ b/src/controller/leadership_guard.cpp
@@ -32,7 +32,7 @@
 bool LeadershipGuard::suspend_leadership_after_stall(Instant last_run) {
     const bool stalled =
         last_run != Instant{} && context_.now() - last_run >= config_.tuning.leader_lease;
-    if (stalled) election_.suspend_leadership("it stood still");
+    if (stalled) election_.suspend_leadership(coordination::StepDownReason::event_loop_stall);
     return stalled;
 }
 
@@ -45,7 +45,7 @@
     const auto limit = config_.worker_lease * kIsolatedPercent / 100;
     if (isolated_for < std::max(config_.tuning.leader_lease, limit)) return;
     context_.log(sansio::LogLevel::info, "event=leader_isolated term={}", election_.term().get());
-    election_.suspend_leadership("it is isolated");
+    election_.suspend_leadership(coordination::StepDownReason::isolated);
 }
 
 void LeadershipGuard::resign_if_no_worker_heartbeats() {
--- a/src/coordination/cancellation_log.cpp
+++ b/src/coordination/cancellation_log.cpp
@@ -3,37 +3,48 @@
 namespace dunebridge::coordination {
 
 namespace {
-// Whoever misses what is dropped for room finds a gap in the numbers, and must read the state
-// service.
-constexpr std::size_t kMaxKept = 400;
-constexpr Millis kForgetEvery{5000};
+// Bounds the size of a heartbeat. A peer that misses what is dropped for this limit finds a gap in
+// the numbers, and must read the key-value store.
+constexpr std::size_t kMaxRetained = 400;
+constexpr Millis kForgetInterval{5000};
 }  // namespace
 
-CancellationLog::CancellationLog(sansio::Context& port, const config::Config& config)
-    : context_(port), config_(config) {
-    part_.incarnation = port.random() | 1u;
+CancellationLog::CancellationLog(sansio::Context& context, const config::Config& config)
+    : context_(context), config_(config) {
+    segment_.incarnation = context.random() | 1u;  // never 0, which stands for no log
 }
 
 bool CancellationLog::append(const JobId& id) {
     if (!known_.try_emplace(id, context_.now()).second) return false;
-    part_.jobs.push_back(id);
-    since_.push_back(context_.now());
+    segment_.jobs.push_back(id);
+    learnt_at_.push_back(context_.now());
     return true;
 }
 
 const CancellationLogSegment& CancellationLog::retained() {
-    std::size_t over = part_.jobs.size() > kMaxKept ? part_.jobs.size() - kMaxKept : 0;
-    const auto keep = config_.cancellation_deadline * 3 / 2;
-    while (over < since_.size() && context_.now() - since_[over] > keep) ++over;
-    const auto end = static_cast<std::ptrdiff_t>(over);
-    part_.jobs.erase(part_.jobs.begin(), part_.jobs.begin() + end);
-    since_.erase(since_.begin(), since_.begin() + end);
-    part_.first += over;
-    if (context_.now() >= next_forget_) {
-        next_forget_ = context_.now() + kForgetEvery;
-        std::erase_if(known_, [&](const auto& k) { return context_.now() - k.second > 2 * keep; });
+    // No leader can be held to a cancellation after the deadline; the rest is margin.
+    const auto retention = config_.cancellation_deadline * 3 / 2;
+    const auto size = segment_.jobs.size();
+    std::size_t dropped = size > kMaxRetained ? size - kMaxRetained : 0;
+    while (dropped < size && context_.now() - learnt_at_[dropped] > retention) ++dropped;
+    drop_first(dropped);
+    if (context_.now() >= next_forget_at_) {
+        next_forget_at_ = context_.now() + kForgetInterval;
+        forget_old_ids(2 * retention);
     }
-    return part_;
+    return segment_;
+}
+
+void CancellationLog::drop_first(std::size_t count) {
+    const auto end = static_cast<std::ptrdiff_t>(count);
+    segment_.jobs.erase(segment_.jobs.begin(), segment_.jobs.begin() + end);
+    learnt_at_.erase(learnt_at_.begin(), learnt_at_.begin() + end);
+    segment_.first += count;
+}
+
+void CancellationLog::forget_old_ids(Millis age) {
+    std::erase_if(
+        known_, [&](const auto& id_and_time) { return context_.now() - id_and_time.second > age; });
 }
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/cancellation_log.hpp
+++ b/src/coordination/cancellation_log.hpp
@@ -1,9 +1,11 @@
-// The cancellations that this node knows to be committed and may show its users.
-//
-// A committed end is true without the state service. Each node numbers the ends `cancelled` that it
-// learns, in its log, before it shows them to anybody; its heartbeats carry the log's latest part.
-// So they reach a leader that the state service does not serve, and a peer's heartbeat acknowledges
-// that there are no others that it could have shown.
+/// \file
+/// Log of the cancellations that this controller knows to be committed and may show its users.
+///
+/// A committed terminal record is true, whether the key-value store can be reached or not. Each
+/// controller numbers the cancellations that it learns of, in its log, before it shows them to
+/// anybody; its heartbeats to its peers carry the log's latest segment. So cancellations reach a
+/// leader that the key-value store does not serve, and a peer's heartbeat acknowledges that there
+/// are no others that the peer could have shown.
 #pragma once
 
 #include <cstdint>
@@ -17,33 +19,40 @@
 
 namespace dunebridge::coordination {
 
-// A part of a node's log: what follows one another from `first` on, up to its end.
+/// A contiguous part of a controller's log, up to its end.
 struct CancellationLogSegment {
-    std::uint64_t incarnation = 0;  // of the process that keeps the log; 0: it keeps none
-    std::uint64_t first = 1;        // number of the first of `jobs`
-    std::vector<JobId> jobs;
+    std::uint64_t incarnation = 0;  ///< Of the process that keeps the log; 0: it keeps none.
+    std::uint64_t first = 1;        ///< Number of the first of `jobs`.
+    std::vector<JobId> jobs;        ///< The cancelled jobs, in the order in which they were learnt.
 
+    /// Number that the next cancellation will get.
     std::uint64_t next() const { return first + jobs.size(); }
 };
 
 class CancellationLog {
   public:
-    CancellationLog(sansio::Context& port, const config::Config& config);
+    /// Context and configuration must outlive the log.
+    CancellationLog(sansio::Context& context, const config::Config& config);
 
-    // Returns whether it was not known.
+    /// Appends a committed cancellation. Returns false if it is in the log already, or has been.
     bool append(const JobId& id);
-    // What is kept of the log: ends that no leader can be held to any more are dropped.
+    /// The part of the log that is kept, after those have been dropped that no leader can be held
+    /// to any more. Valid until the log changes.
     const CancellationLogSegment& retained();
 
   private:
+    void drop_first(std::size_t count);
+    void forget_old_ids(Millis age);
+
     sansio::Context& context_;
     const config::Config& config_;
-    CancellationLogSegment part_;
-    std::deque<Instant> since_;  // of each job in part_
-    // When each was learnt. Kept for longer than the log, as peers' logs drop theirs later: they
-    // must not count as new again here, and then there, for ever.
+    CancellationLogSegment segment_;
+    std::deque<Instant> learnt_at_;  ///< Of each job in the segment.
+    /// When each cancellation was learnt. Kept for longer than the log, as peers' logs drop theirs
+    /// later: one that was forgotten too early would count as new again here, and then there, for
+    /// ever.
     std::map<JobId, Instant> known_;
-    Instant next_forget_{};
+    Instant next_forget_at_{};
 };
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -6,250 +6,285 @@
 using sansio::LogLevel;
 
 namespace {
-constexpr Millis kRetry{300};
+// Retries are spread over as much again, so that the controllers do not collide.
+constexpr Millis kRetryDelay{300};
+constexpr Millis kMaxCampaignDelay{60};
 constexpr Millis kWatchWait{8000};
-constexpr Millis kTimeout{2500};  // the service may be slow without being down
+constexpr Millis kRequestTimeout{2500};  // the store may be slow without being down
+constexpr Millis kResignTimeout{1500};
+
+const char* name_of(StepDownReason reason) {
+    switch (reason) {
+        case StepDownReason::other_leader:
+            return "another node leads";
+        case StepDownReason::key_removed:
+            return "the leader key is gone";
+        case StepDownReason::lease_expired:
+            return "the lease has expired";
+        case StepDownReason::newer_term:
+            return "a later term is known";
+        case StepDownReason::event_loop_stall:
+            return "the event loop stalled";
+        case StepDownReason::isolated:
+            return "it is isolated";
+        case StepDownReason::resigned:
+            return "it resigns";
+        case StepDownReason::unknown_outcome:
+            return "a transaction's outcome is not known";
+    }
+    return "";
+}
 }  // namespace
 
-Election::Election(sansio::Context& port, kv::KvClient& store, const config::Config& config)
-    : context_(port),
-      kv_client_(store),
+Election::Election(sansio::Context& context, kv::KvClient& kv_client, const config::Config& config)
+    : context_(context),
+      kv_client_(kv_client),
       config_(config),
-      // A restarted node is a new incarnation: it must not take its predecessor's key for its own.
-      incarnation_(fmt::format("{:016x}", port.random())) {}
-
-std::string Election::leader_value(Term term) const {
-    return wire::Writer()
-        .map(3)
-        .text("node")
-        .text(config_.name.get())
-        .text("incarnation")
-        .text(incarnation_)
-        .text("term")
-        .count(term.get())
-        .take();
-}
+      incarnation_(fmt::format("{:016x}", context.random())),
+      lease_(context, kv_client, config, [this] { handle_lease_expiry(); }) {}
 
 void Election::poll() {
-    const auto now = context_.now();
-    if (!observed_) {
-        if (!reading_ && now >= next_read_) observe();
-        if (!reading_) context_.request_wake(next_read_);
-    } else if (!watching_) {
-        watch();
-    }
-    const bool vacant =
-        observed_ && observed_revision_ == KeyRevision() && !leader_ && now >= resigned_until_;
-    if (!campaigning_ && (new_term_required_ || (vacant && eligible_))) {
-        if (now >= next_campaign_) {
-            campaign();
-        } else {
-            context_.request_wake(next_campaign_);
-        }
-    }
-    // A lease that no key hangs on is left to end by itself.
-    if (!leader_ && !campaigning_ && !new_term_required_) lease_.reset();
-    if (lease_ && !renewing_) {
-        if (now >= next_renewal_) {
-            renew_lease();
-        } else {
-            context_.request_wake(next_renewal_);
-        }
+    poll_observation();
+    poll_campaign();
+    // A lease to which no key is bound is left to expire by itself.
+    if (!leader_ && !campaigning_ && !new_term_required_) lease_.abandon();
+    lease_.renew_if_due();
+}
+
+// ---- observation of the leader key ----
+
+void Election::poll_observation() {
+    if (observed_) {
+        if (!watching_) watch_leader_key();
+        return;
     }
+    if (!reading_ && context_.now() >= next_read_) read_leader_key();
+    if (!reading_) context_.request_wake(next_read_);
 }
 
-void Election::observe() {
+void Election::observe_again(Instant at) {
+    observed_ = false;
+    next_read_ = at;
+}
+
+void Election::read_leader_key() {
     reading_ = true;
+    // A listing gives the revision from which a watch misses nothing.
     kv_client_.list(kLeaderKey, [this](const kv::ListResult& result) {
         reading_ = false;
         if (!result.available) {
-            next_read_ = context_.now() + kRetry + context_.jitter(kRetry);
+            next_read_ = next_retry();
             return;
         }
         observed_ = true;
         watch_from_ = result.rev;
         bool found = false;
-        for (const auto& row : result.entries) {
-            if (row.key != kLeaderKey) continue;
-            observe_leader_key(row.value, row.rev);
+        for (const auto& entry : result.entries) {
+            if (entry.key != kLeaderKey) continue;
+            observe_leader_key(entry.value, entry.rev);
             found = true;
         }
         if (!found) observe_no_leader();
     });
 }
 
-void Election::watch() {
+void Election::watch_leader_key() {
     watching_ = true;
     kv_client_.watch(kLeaderKey, watch_from_, kWatchWait, [this](const kv::WatchResult& result) {
         watching_ = false;
-        if (result.kind != kv::WatchResult::Kind::changes) {
-            observed_ = false;
-            next_read_ = context_.now() + context_.jitter(kRetry);
-            return;
-        }
-        watch_from_ = result.rev;
-        for (const auto& change : result.events) {
-            if (change.key != kLeaderKey) continue;
-            change.removed ? observe_no_leader() : observe_leader_key(change.value, change.rev);
-        }
+        handle_watch_result(result);
     });
 }
 
-void Election::observe_leader_key(wire::Value value, KeyRevision rev) {
-    // A read that was overtaken by this node's own later write says nothing new.
-    if (leader_ && rev.get() <= leader_key_revision_.get()) return;
-    observed_revision_ = rev;
-    observed_leader_ = ControllerName(std::string(value["node"].text().value_or("")));
-    observed_term_ = Term(value["term"].count().value_or(0));
-    const bool own = value["incarnation"].text() == incarnation_;
-    if (!own) {
-        new_term_required_ = false;
-        if (leader_) step_down("another node leads");
+void Election::handle_watch_result(const kv::WatchResult& result) {
+    if (result.kind != kv::WatchResult::Kind::changes) {
+        observe_again(context_.now() + context_.jitter(kRetryDelay));
         return;
     }
-    if (rev == leader_key_revision_) {
-        if (context_.now() < resigned_until_) return;  // it resigned; the key goes with its lease
-        // Left while the key still stood: something sent under this revision may still be under
-        // way, so this term must not be taken up again.
-        new_term_required_ = true;
-        return;
+    watch_from_ = result.rev;
+    for (const auto& event : result.events) {
+        if (event.key != kLeaderKey) continue;
+        if (event.removed) {
+            observe_no_leader();
+        } else {
+            observe_leader_key(event.value, event.rev);
+        }
     }
-    // The answer to the proposal was lost or is overtaken: the key is this incarnation's, so no
-    // other node can hold a later term while it stands at this revision.
-    begin_term(observed_term_, rev);
 }
 
-void Election::begin_term(Term term, KeyRevision rev) {
-    leader_key_revision_ = observed_revision_ = rev;
-    term_ = observed_term_ = term;
-    observed_leader_ = config_.name;
+void Election::observe_leader_key(wire::Value value, KeyRevision rev) {
+    // A read that was overtaken by this controller's own later write says nothing new.
+    if (leader_ && rev <= leader_key_revision_) return;
+    const auto record = decode_leader_record(value);
+    observed_revision_ = rev;
+    observed_leader_ = record.node;
+    if (record.incarnation == incarnation_) {
+        observe_own_key(record.term, rev);
+        return;
+    }
     new_term_required_ = false;
-    leader_ = true;
-    ++generation_;
-    context_.log(LogLevel::info, "event=elected node={} term={}", config_.name.get(), term.get());
+    if (leader_) step_down(StepDownReason::other_leader);
+}
+
+void Election::observe_own_key(Term term, KeyRevision rev) {
+    if (rev != leader_key_revision_) {
+        // The response to the proposal was lost or is overtaken: the key is this incarnation's, so
+        // no other controller can hold a later term while it stands at this revision.
+        begin_term(term, rev);
+        return;
+    }
+    // After a resignation the key goes with its lease.
+    if (context_.now() < resigned_until_) return;
+    // It stepped down while the key still stood: a request sent under this revision may still be
+    // under way, so this term must not be taken up again.
+    new_term_required_ = true;
 }
 
 void Election::observe_no_leader() {
     observed_revision_ = KeyRevision();
     observed_leader_ = ControllerName();
     new_term_required_ = false;
-    if (leader_) step_down("the leader key is gone");
-    next_campaign_ = context_.now() + context_.jitter(Millis(60));
+    if (leader_) step_down(StepDownReason::key_removed);
+    next_campaign_ = context_.now() + context_.jitter(kMaxCampaignDelay);
+}
+
+// ---- campaign ----
+
+bool Election::is_vacant() const {
+    return observed_ && observed_revision_ == KeyRevision() && !leader_ &&
+           context_.now() >= resigned_until_;
+}
+
+void Election::poll_campaign() {
+    if (campaigning_) return;
+    const bool wanted = new_term_required_ || (is_vacant() && eligible_);
+    if (!wanted) return;
+    if (context_.now() >= next_campaign_) {
+        campaign();
+    } else {
+        context_.request_wake(next_campaign_);
+    }
 }
 
 void Election::campaign() {
     campaigning_ = true;
-    const KeyRevision over = new_term_required_ ? leader_key_revision_ : KeyRevision();
-    if (lease_) {
-        read_term(over);
-        return;
-    }
-    kv_client_.create_lease(
-        config_.tuning.leader_lease, [this, over](std::optional<LeaseId> lease) {
-            if (!lease) {
-                campaigning_ = false;
-                next_campaign_ = context_.now() + kRetry + context_.jitter(kRetry);
-                return;
-            }
-            lease_ = lease;
-            next_renewal_ = context_.now() + config_.tuning.leader_lease / 3;
-            read_term(over);
-        });
+    const KeyRevision replaced = new_term_required_ ? leader_key_revision_ : KeyRevision();
+    lease_.acquire([this, replaced](bool acquired) {
+        if (acquired) {
+            read_term(replaced);
+        } else {
+            finish_campaign();
+        }
+    });
+}
+
+Instant Election::next_retry() {
+    return context_.now() + kRetryDelay + context_.jitter(kRetryDelay);
 }
 
-void Election::read_term(KeyRevision over) {
-    kv_client_.get(kTermKey, kTimeout, [this, over](const kv::GetResult& result) {
+void Election::finish_campaign() {
+    campaigning_ = false;
+    next_campaign_ = next_retry();
+}
+
+void Election::read_term(KeyRevision replaced) {
+    kv_client_.get(kTermKey, kRequestTimeout, [this, replaced](const kv::GetResult& result) {
         if (!result.available) {
-            campaigning_ = false;
-            next_campaign_ = context_.now() + kRetry + context_.jitter(kRetry);
+            finish_campaign();
             return;
         }
-        TermRow last;
-        if (result.entry) last = {Term(result.entry->value.count().value_or(0)), result.entry->rev};
-        propose(last, over);
+        StoredTerm last;
+        if (result.entry) {
+            last = {Term(result.entry->value.count().value_or(0)), result.entry->rev};
+        }
+        propose(last, replaced);
     });
 }
 
-void Election::propose(TermRow last, KeyRevision over) {
+void Election::propose(const StoredTerm& last, KeyRevision replaced) {
     const Term term(last.term.get() + 1);
-    const std::vector<wire::Precondition> preconditions{{kLeaderKey, over}, {kTermKey, last.rev}};
+    const std::vector<wire::Precondition> preconditions{{kLeaderKey, replaced},
+                                                        {kTermKey, last.rev}};
     const std::vector<wire::Write> writes{
-        {kLeaderKey, leader_value(term), lease_},
+        {kLeaderKey, encode(LeaderRecord{config_.name, incarnation_, term}), lease_.id()},
         {kTermKey, wire::Writer().count(term.get()).take(), std::nullopt}};
-    kv_client_.compare_and_swap(
-        preconditions, writes, kTimeout, [this, term](const kv::TransactionResult& result) {
-            campaigning_ = false;
-            next_campaign_ = context_.now() + kRetry + context_.jitter(kRetry);
-            if (result.outcome == TransactionOutcome::ok) {
-                if (!leader_ || leader_key_revision_ != result.rev) begin_term(term, result.rev);
-                return;
-            }
-            if (result.outcome == TransactionOutcome::lease_expired) {
-                lease_.reset();
-                next_campaign_ = context_.now();
-            }
-            // Lost, or not known: what the key says now decides.
-            if (result.outcome == TransactionOutcome::conflict ||
-                result.outcome == TransactionOutcome::unknown) {
-                observed_ = false;
-                next_read_ = context_.now();
-            }
-        });
+    kv_client_.compare_and_swap(preconditions, writes, kRequestTimeout,
+                                [this, term](const kv::TransactionResult& result) {
+                                    handle_proposal_result(term, result);
+                                });
 }
 
-void Election::renew_lease() {
-    if (!lease_) return;
-    renewing_ = true;
-    const auto lease = *lease_;
-    kv_client_.renew_lease(lease, [this, lease](kv::LeaseRenewal renewal) {
-        renewing_ = false;
-        const bool again_soon = renewal != kv::LeaseRenewal::renewed;
-        next_renewal_ = context_.now() + config_.tuning.leader_lease / (again_soon ? 10 : 3);
-        if (renewal != kv::LeaseRenewal::expired) return;
-        if (lease_ == lease) lease_.reset();
-        if (leader_) step_down("the lease has ended");
-        observed_ = false;
-        next_read_ = context_.now();
-    });
+void Election::handle_proposal_result(Term proposed, const kv::TransactionResult& result) {
+    finish_campaign();
+    switch (result.outcome) {
+        case TransactionOutcome::ok:
+            // The watch may have shown the key before.
+            if (!leader_ || leader_key_revision_ != result.rev) begin_term(proposed, result.rev);
+            break;
+        case TransactionOutcome::lease_expired:
+            lease_.abandon();
+            next_campaign_ = context_.now();
+            break;
+        case TransactionOutcome::conflict:
+        case TransactionOutcome::unknown:
+            // Another controller's proposal may have won, or this one: the key says which.
+            observe_again(context_.now());
+            break;
+        case TransactionOutcome::refused:
+        case TransactionOutcome::malformed:
+            break;
+    }
 }
 
-void Election::step_down(const char* why) {
+// ---- leadership ----
+
+void Election::begin_term(Term term, KeyRevision rev) {
+    leader_key_revision_ = rev;
+    observed_revision_ = rev;
+    observed_leader_ = config_.name;
+    term_ = term;
+    new_term_required_ = false;
+    leader_ = true;
+    ++generation_;
+    context_.log(LogLevel::info, "event=elected node={} term={}", config_.name.get(), term.get());
+}
+
+void Election::step_down(StepDownReason reason) {
     context_.log(LogLevel::info, "event=stepped_down node={} term={} why=\"{}\"",
-                 config_.name.get(), term_.get(), why);
+                 config_.name.get(), term_.get(), name_of(reason));
     leader_ = false;
     new_term_required_ = false;
 }
 
+void Election::handle_lease_expiry() {
+    if (leader_) step_down(StepDownReason::lease_expired);
+    observe_again(context_.now());
+}
+
 void Election::observe_newer_term(Term newer) {
-    if (!leader_ || newer <= term_) return;
-    step_down("a peer knows a later term");
-    observed_ = false;
-    next_read_ = context_.now();
+    if (newer > term_) suspend_leadership(StepDownReason::newer_term);
 }
 
-void Election::suspend_leadership(const char* why) {
+void Election::suspend_leadership(StepDownReason reason) {
     if (!leader_) return;
-    step_down(why);
-    observed_ = false;
-    next_read_ = context_.now();
+    step_down(reason);
+    observe_again(context_.now());
 }
 
 void Election::resign(Millis cooldown) {
     if (!leader_) return;
-    const auto key = precondition();
-    step_down("it resigns");
+    const auto own_key = precondition();
+    step_down(StepDownReason::resigned);
     resigned_until_ = context_.now() + cooldown;
-    // Only speeds things up: without it the key goes when its lease ends.
-    kv_client_.compare_and_swap({key}, {{kLeaderKey, std::nullopt, std::nullopt}}, Millis(1500),
-                                [this](const kv::TransactionResult&) {
-                                    observed_ = false;
-                                    next_read_ = context_.now();
-                                });
+    // This only speeds things up: without it the key goes when its lease expires.
+    kv_client_.compare_and_swap(
+        {own_key}, {{kLeaderKey, std::nullopt, std::nullopt}}, kResignTimeout,
+        [this](const kv::TransactionResult&) { observe_again(context_.now()); });
 }
 
 void Election::require_new_term() {
     if (!leader_) return;
-    step_down("a transaction's outcome is not known");
+    step_down(StepDownReason::unknown_outcome);
     new_term_required_ = true;
     next_campaign_ = context_.now();
 }
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -6,134 +6,123 @@
 namespace dunebridge::coordination {
 
 namespace {
-constexpr Millis kEvery{700};
-constexpr Millis kRecently{2500};
-constexpr Millis kTimeout{1500};
-// A user waits for this one.
-constexpr Millis kBroadcastTimeout{400};
+constexpr Millis kHeartbeatInterval{700};
+constexpr Millis kHeartbeatTimeout{1500};
+// Of a heartbeat that is sent at once: a user waits for it.
+constexpr Millis kImmediateTimeout{400};
 }  // namespace
 
-PeerMonitor::PeerMonitor(sansio::Context& port, const config::Config& config,
-                         std::function<PeerHeartbeat()> own,
-                         std::function<void(const JobId&)> cancelled)
-    : context_(port), config_(config), own_(std::move(own)), cancelled_(std::move(cancelled)) {
-    for (const auto& node : config_.peers) peers_[node.name];
+PeerMonitor::PeerMonitor(sansio::Context& context, const config::Config& config,
+                         HeartbeatSource heartbeat_source, OnCancellation on_cancellation)
+    : context_(context),
+      config_(config),
+      heartbeat_source_(std::move(heartbeat_source)),
+      on_cancellation_(std::move(on_cancellation)) {
+    for (const auto& peer : config_.peers) peers_[peer.name];
 }
 
-bool PeerMonitor::recently_heard(const Peer& peer) const {
-    return peer.known && context_.now() - peer.heard < kRecently;
-}
-
-std::string PeerMonitor::own_heartbeat() { return encode(own_()); }
-
 void PeerMonitor::send_due_heartbeats() {
-    if (context_.now() >= next_) {
-        next_ = context_.now() + kEvery;
-        const auto heartbeat = own_heartbeat();
-        for (const auto& node : config_.peers) {
-            auto& peer = peers_[node.name];
-            if (peer.in_flight) continue;
-            peer.in_flight = true;
-            send(node, heartbeat, kTimeout, [&peer] { peer.in_flight = false; });
+    if (context_.now() >= next_send_at_) {
+        next_send_at_ = context_.now() + kHeartbeatInterval;
+        const auto heartbeat = encode(heartbeat_source_());
+        for (const auto& peer : config_.peers) {
+            auto& status = peers_[peer.name];
+            if (status.in_flight) continue;
+            status.in_flight = true;
+            send(peer, heartbeat, kHeartbeatTimeout, [&status] { status.in_flight = false; });
         }
     }
-    context_.request_wake(next_);
+    context_.request_wake(next_send_at_);
 }
 
-void PeerMonitor::send_heartbeat(const ControllerName& peer, std::function<void()> then) {
-    for (const auto& node : config_.peers) {
-        if (node.name != peer) continue;
-        send(node, own_heartbeat(), kBroadcastTimeout, std::move(then));
+void PeerMonitor::send_heartbeat(const ControllerName& peer, OnSent on_sent) {
+    const auto it = std::find_if(config_.peers.begin(), config_.peers.end(),
+                                 [&](const auto& address) { return address.name == peer; });
+    if (it == config_.peers.end()) {
+        on_sent();
         return;
     }
-    then();
+    send(*it, encode(heartbeat_source_()), kImmediateTimeout, std::move(on_sent));
 }
 
-void PeerMonitor::send(const config::PeerAddress& node, const std::string& heartbeat,
-                       Millis timeout, std::function<void()> then) {
-    context_.call(sansio::Destination::peer, node.back, "POST", "/hello", heartbeat, timeout,
-                  [this, name = node.name, asked = context_.now(),
-                   then = std::move(then)](const sansio::HttpResult& reply) {
-                      if (reply.ok()) answered(name, reply, asked);
-                      then();
+void PeerMonitor::send(const config::PeerAddress& peer, const std::string& heartbeat,
+                       Millis timeout, OnSent on_sent) {
+    context_.call(sansio::Destination::peer, peer.back, "POST", "/hello", heartbeat, timeout,
+                  [this, name = peer.name, requested_at = context_.now(),
+                   on_sent = std::move(on_sent)](const sansio::HttpResult& response) {
+                      if (response.ok()) handle_response(name, response, requested_at);
+                      on_sent();
                   });
 }
 
-void PeerMonitor::answered(const ControllerName& name, const sansio::HttpResult& reply,
-                           Instant asked) {
+void PeerMonitor::handle_response(const ControllerName& peer, const sansio::HttpResult& response,
+                                  Instant requested_at) {
     try {
-        const auto doc = wire::Document::need(reply.body);
-        const auto heartbeat = decode_peer_heartbeat(doc.root());
-        if (heartbeat.node == name)
-            track_cancellation_log(peers_[name], heartbeat.cancellations, asked);
+        const auto document = wire::Document::need(response.body);
+        const auto heartbeat = decode_peer_heartbeat(document.root());
+        if (heartbeat.node == peer) {
+            peers_[peer].cancellation_log.record_response(heartbeat.cancellations, requested_at,
+                                                          context_.now());
+        }
         record_heartbeat(heartbeat);
-    } catch (const wire::DecodeError& e) {
+    } catch (const wire::DecodeError& error) {
         context_.log(sansio::LogLevel::error, "event=invalid_peer_heartbeat from={} error=\"{}\"",
-                     name.get(), e.what());
-    }
-}
-
-// Only an answer shows how new it is: it was given after it was asked for. A restarted peer, or one
-// whose log has a gap, may have shown users ends that are in no log any more; the state service
-// has them.
-void PeerMonitor::track_cancellation_log(Peer& peer, const CancellationLogSegment& log,
-                                         Instant asked) {
-    if (log.incarnation == 0) return;
-    if (peer.incarnation != log.incarnation || log.first > peer.next) {
-        peer.incarnation = log.incarnation;
-        peer.complete_since = context_.now();
-        peer.next = 0;
+                     peer.get(), error.what());
     }
-    peer.next = std::max(peer.next, log.next());
-    peer.acknowledged_at = std::max(peer.acknowledged_at, asked);
-}
-
-Instant PeerMonitor::cancellations_known_until(Instant read) const {
-    auto until = context_.now();
-    for (const auto& [name, peer] : peers_) {
-        if (peer.incarnation == 0 || peer.complete_since > read) return Instant{};
-        until = std::min(until, peer.acknowledged_at);
-    }
-    return until;
 }
 
 void PeerMonitor::record_heartbeat(const PeerHeartbeat& heartbeat) {
     const auto it = peers_.find(heartbeat.node);
     if (it == peers_.end()) return;
-    // Committed ends are true however old the heartbeat is.
-    for (const auto& id : heartbeat.cancellations.jobs) cancelled_(id);
-    auto& peer = it->second;
-    // Overtaken on the way: terms only grow.
-    if (peer.known && heartbeat.term < peer.heartbeat.term) return;
-    peer.heartbeat = heartbeat;
-    peer.heartbeat.cancellations.jobs.clear();
-    peer.known = true;
-    peer.heard = last_heard_ = context_.now();
+    // Committed cancellations are true however old the heartbeat is.
+    for (const auto& id : heartbeat.cancellations.jobs) on_cancellation_(id);
+    auto& status = it->second;
+    // Terms only grow: a heartbeat with an older one was overtaken on the way.
+    if (status.known && heartbeat.term < status.heartbeat.term) return;
+    status.heartbeat = heartbeat;
+    status.heartbeat.cancellations.jobs.clear();
+    status.known = true;
+    status.heard_at = context_.now();
+    last_heard_at_ = context_.now();
     highest_term_ = std::max(highest_term_, heartbeat.term);
-    if (!heartbeat.leads || heartbeat.term < highest_term_) return;
+    const bool from_leader = heartbeat.leads && heartbeat.term == highest_term_;
+    if (from_leader) record_leader_report(status.heartbeat);
+}
+
+void PeerMonitor::record_leader_report(PeerHeartbeat& heartbeat) {
     progress_.clear();
-    for (const auto& p : heartbeat.progress) progress_.emplace(p.id, p);
-    peer.heartbeat.progress.clear();
-    faulty_jobs_ = std::exchange(peer.heartbeat.faulty_jobs, {});
+    for (const auto& job : heartbeat.progress) progress_.emplace(job.id, job);
+    heartbeat.progress.clear();
+    faulty_jobs_ = std::exchange(heartbeat.faulty_jobs, {});
+}
+
+Instant PeerMonitor::cancellations_known_until(Instant terminal_records_read_at) const {
+    auto until = context_.now();
+    for (const auto& [name, status] : peers_) {
+        until = std::min(until, status.cancellation_log.complete_until(terminal_records_read_at));
+    }
+    return until;
 }
 
 ControllerName PeerMonitor::leader() const {
-    for (const auto& [name, peer] : peers_) {
-        if (recently_heard(peer) && peer.heartbeat.leads && peer.heartbeat.term == highest_term_)
-            return name;
+    for (const auto& [name, status] : peers_) {
+        if (!status.recently_heard(context_.now())) continue;
+        if (status.heartbeat.leads && status.heartbeat.term == highest_term_) return name;
     }
     return ControllerName();
 }
 
 bool PeerMonitor::all_peers_support(std::uint64_t format) const {
-    return std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
-        return recently_heard(p.second) && p.second.heartbeat.format >= format;
+    return std::all_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
+        const auto& status = entry.second;
+        return status.recently_heard(context_.now()) && status.heartbeat.format >= format;
     });
 }
 
 bool PeerMonitor::kv_reachable_by_a_peer() const {
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
-        return recently_heard(entry.second) && entry.second.heartbeat.kv_reachable;
+        const auto& status = entry.second;
+        return status.recently_heard(context_.now()) && status.heartbeat.kv_reachable;
     });
 }
 
--- a/src/coordination/peer_monitor.hpp
+++ b/src/coordination/peer_monitor.hpp
@@ -1,7 +1,10 @@
-// Heartbeats between the controllers: who leads, who reaches the state service, how far the
-// leader's jobs are, and which cancellations are committed. All of it but the last is advice:
-// safety never rests on it. A committed end is true whoever reports it, and an answer acknowledges
-// all of the peer's cancellations up to the moment at which it was asked for.
+/// \file
+/// Exchanges heartbeats with the other controllers: who leads, who reaches the key-value store, how
+/// far the leader's jobs are, and which cancellations are committed.
+///
+/// All but the last is advice; safety never rests on it. A committed cancellation is true whoever
+/// reports it, and a response acknowledges all of the peer's cancellations up to the moment at
+/// which the request was made.
 #pragma once
 
 #include <cstdint>
@@ -13,70 +16,73 @@
 #include "base/types.hpp"
 #include "config/config.hpp"
 #include "coordination/peer_heartbeat.hpp"
+#include "coordination/peer_status.hpp"
 #include "sansio/context.hpp"
 
 namespace dunebridge::coordination {
 
 class PeerMonitor {
   public:
-    PeerMonitor(sansio::Context& port, const config::Config& config,
-                std::function<PeerHeartbeat()> own, std::function<void(const JobId&)> cancelled);
+    /// Called whenever a heartbeat is to be sent; returns this controller's state.
+    using HeartbeatSource = std::function<PeerHeartbeat()>;
+    /// Called for every committed cancellation in a peer's heartbeat, also for those known already.
+    using OnCancellation = std::function<void(const JobId&)>;
+    /// Called once, when the peer has responded or has not in time.
+    using OnSent = std::function<void()>;
 
+    /// Context and configuration must outlive the monitor.
+    PeerMonitor(sansio::Context& context, const config::Config& config,
+                HeartbeatSource heartbeat_source, OnCancellation on_cancellation);
+
+    /// Sends heartbeats to all peers if it is time; to be called at every turn of the event loop.
+    /// Requests to be run again when the next ones are due.
     void send_due_heartbeats();
-    // Sends to all peers at the next tick, as something changed that they should know.
-    void broadcast_soon() { next_ = Instant{}; }
-    // Takes a peer's heartbeat. It may have been under way for long.
+    /// Makes the next send_due_heartbeats() send, as something changed that the peers should know.
+    void broadcast_soon() { next_send_at_ = Instant{}; }
+    /// Sends a heartbeat to one peer at once. For an unknown peer `on_sent` is called at once.
+    void send_heartbeat(const ControllerName& peer, OnSent on_sent);
+    /// Takes a peer's heartbeat, received as a request or a response. It may have been under way
+    /// for long.
     void record_heartbeat(const PeerHeartbeat& heartbeat);
-    // Sends to one peer now, and goes on when it has answered or has not in time.
-    void send_heartbeat(const ControllerName& peer, std::function<void()> then);
-    // Up to when this node knows of every cancellation that a peer has shown its users, for one
-    // that has read all committed ends at the given moment; nothing while a peer does not answer.
-    Instant cancellations_known_until(Instant read) const;
 
-    // The peer that leads by the latest heartbeats, empty if none.
+    /// Until when this controller knows of every cancellation that a peer has shown its users, if
+    /// it read all terminal records from the key-value store at the given moment. The epoch while a
+    /// peer does not respond, or its log was missed in part since then.
+    Instant cancellations_known_until(Instant terminal_records_read_at) const;
+
+    /// The peer that leads by the latest heartbeats, empty if none.
     ControllerName leader() const;
-    // When the last heartbeat of any peer came.
-    Instant last_heard() const { return last_heard_; }
+    /// When the last heartbeat of any peer came.
+    Instant last_heard() const { return last_heard_at_; }
+    /// The highest term in any heartbeat so far.
     Term highest_term() const { return highest_term_; }
-    // Every known controller has lately shown that it knows the format; one not heard counts as
-    // old.
+    /// Whether every peer has lately shown that it knows the record format. One that has not been
+    /// heard counts as an older version, which could not read the records.
     bool all_peers_support(std::uint64_t format) const;
-    // Some peer has lately reported that it reaches the state service.
+    /// Whether a peer has lately reported that it reaches the key-value store.
     bool kv_reachable_by_a_peer() const;
+    /// Progress of the jobs, from the latest leader heard.
     const std::unordered_map<JobId, JobProgress>& progress() const { return progress_; }
-    // Jobs that the latest leader heard of took to fail on every machine.
+    /// Jobs that the latest leader heard takes to fail on every machine.
     const std::vector<JobId>& faulty_jobs() const { return faulty_jobs_; }
 
   private:
-    struct Peer {
-        Instant heard{};
-        bool known = false;
-        PeerHeartbeat heartbeat;
-        bool in_flight = false;
-        // Its log, as far as it is known here without a gap, since when, and when it was last
-        // asked.
-        std::uint64_t incarnation = 0;
-        std::uint64_t next = 0;
-        Instant complete_since{};
-        Instant acknowledged_at{};
-    };
-    bool recently_heard(const Peer& peer) const;
-    std::string own_heartbeat();
-    void send(const config::PeerAddress& node, const std::string& heartbeat, Millis timeout,
-              std::function<void()> then);
-    void answered(const ControllerName& name, const sansio::HttpResult& reply, Instant asked);
-    void track_cancellation_log(Peer& peer, const CancellationLogSegment& log, Instant asked);
+    void send(const config::PeerAddress& peer, const std::string& heartbeat, Millis timeout,
+              OnSent on_sent);
+    void handle_response(const ControllerName& peer, const sansio::HttpResult& response,
+                         Instant requested_at);
+    void record_leader_report(PeerHeartbeat& heartbeat);
 
     sansio::Context& context_;
     const config::Config& config_;
-    std::function<PeerHeartbeat()> own_;
-    std::function<void(const JobId&)> cancelled_;
-    std::unordered_map<ControllerName, Peer> peers_;
+    HeartbeatSource heartbeat_source_;
+    OnCancellation on_cancellation_;
+    std::unordered_map<ControllerName, PeerStatus> peers_;
     std::unordered_map<JobId, JobProgress> progress_;
     std::vector<JobId> faulty_jobs_;
     Term highest_term_;
-    Instant last_heard_{};
-    Instant next_{};
+    Instant last_heard_at_{};
+    Instant next_send_at_{};
 };
 
 }  // namespace dunebridge::coordination
--- a/src/kv/client.hpp
+++ b/src/kv/client.hpp
@@ -1,124 +1,78 @@
-// Typed access to the state service through the port, with this node's share of its budgets.
+/// \file
+/// Client of the consensus-backed key-value store: compare-and-swap transactions, reads, watches
+/// and leases.
 #pragma once
 
 #include <functional>
-#include <map>
-#include <memory>
 #include <optional>
 #include <string>
 #include <vector>
 
 #include "base/types.hpp"
 #include "config/config.hpp"
+#include "kv/connection.hpp"
+#include "kv/results.hpp"
 #include "sansio/context.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::kv {
 
-enum class TransactionOutcome : std::uint8_t {
-    ok,
-    conflict,   // a precondition did not hold; nothing was written
-    refused,    // certainly not executed
-    malformed,  // certainly not executed, nor ever will be: larger than the service takes, or wrong
-    lease_expired,  // certainly not executed: the lease of a put has ended
-    unknown         // may have been executed, or may yet be
-};
-
-struct TransactionResult {
-    TransactionOutcome outcome = TransactionOutcome::unknown;
-    KeyRevision rev;
-    std::vector<std::string> failed;
-};
-
-struct Entry {
-    std::string key;
-    std::shared_ptr<wire::Document> document;  // keeps the value alive
-    wire::Value value;
-    KeyRevision rev;
-};
-
-struct GetResult {
-    bool available = false;
-    std::optional<Entry> entry;
-};
-
-// Rows by key; those that do not exist are absent.
-struct MultiGetResult {
-    bool available = false;
-    std::map<std::string, Entry> entries;
-};
-
-struct ListResult {
-    bool available = false;
-    std::vector<Entry> entries;
-    KeyRevision rev;   // of the first page: watching from here misses nothing
-    int refusals = 0;  // of pages, for the rate
-};
-
-struct WatchEvent {
-    std::string key;
-    bool removed = false;
-    wire::Value value;
-    KeyRevision rev;
-};
-struct WatchResult {
-    enum class Kind : std::uint8_t { changes, compacted, failed } kind = Kind::failed;
-    KeyRevision rev;
-    std::vector<WatchEvent> events;
-    std::shared_ptr<wire::Document> document;
-};
-
-enum class LeaseRenewal : std::uint8_t {
-    renewed,
-    expired,  // the lease does not exist any more
-    unknown   // it may have been renewed
-};
-
+/// Client of the key-value store. All requests are asynchronous: each callback is called exactly
+/// once, in the controller's event loop, when the response has come or the timeout is over. The
+/// client retries nothing but pages that were refused for the request rate; rates are kept by the
+/// callers, each with its share of this controller's budget.
 class KvClient {
   public:
-    KvClient(sansio::Context& port, const config::Config& config);
-
+    /// Called with the result of a transaction.
+    using OnTransaction = std::function<void(const TransactionResult&)>;
+    /// Called with the result of reading one key.
+    using OnGet = std::function<void(const GetResult&)>;
+    /// Called when all keys have been read, or one could not be.
+    using OnMultiGet = std::function<void(const MultiGetResult&)>;
+    /// Called when the whole prefix has been read, or a page could not be.
+    using OnList = std::function<void(const ListResult&)>;
+    /// Called when there are changes, when the wait is over without any, or on failure.
+    using OnWatch = std::function<void(const WatchResult&)>;
+    /// Called with the new lease, or nothing if it is not known whether there is one.
+    using OnLeaseCreated = std::function<void(std::optional<LeaseId>)>;
+    /// Called with what is known of the lease after the attempt to renew it.
+    using OnLeaseRenewal = std::function<void(LeaseRenewal)>;
+
+    /// Context and configuration must outlive the client.
+    KvClient(sansio::Context& context, const config::Config& config);
+
+    /// Applies all writes if all preconditions hold, and none otherwise.
     void compare_and_swap(const std::vector<wire::Precondition>& preconditions,
                           const std::vector<wire::Write>& writes, Millis timeout,
-                          std::function<void(const TransactionResult&)> then);
-    void get(const std::string& key, Millis timeout, std::function<void(const GetResult&)> then);
-    // Reads the keys that are the prefix and one of the names, with few requests: what lies between
-    // two of them is read along where that takes fewer pages. Names end in a digit.
+                          OnTransaction then);
+    /// Reads one key.
+    void get(const std::string& key, Millis timeout, OnGet then);
+    /// Reads the keys that are the prefix followed by one of the names, with few requests. Names
+    /// end in a digit. The timeout is that of each request. For no names, `then` is called at once.
     void get_each(const std::string& prefix, std::vector<std::string> names, Millis timeout,
-                  std::function<void(const MultiGetResult&)> then);
-    // Reads a whole prefix, page after page.
-    void list(const std::string& prefix, std::function<void(const ListResult&)> then);
-    void watch(const std::string& prefix, KeyRevision from, Millis wait,
-               std::function<void(const WatchResult&)> then);
-    void create_lease(Millis ttl, std::function<void(std::optional<LeaseId>)> then);
-    void renew_lease(LeaseId lease, std::function<void(LeaseRenewal)> then);
-
-    // Asks for something small when nothing else has been asked lately.
-    void probe_if_idle();
-    // Whether the last answers were good ones.
-    bool reachable() const { return reachable_; }
-    // How long calls have gone without a good answer.
-    Millis time_since_response() const;
-
+                  OnMultiGet then);
+    /// Reads all keys with a prefix, page after page.
+    void list(const std::string& prefix, OnList then);
+    /// Waits for changes of keys with a prefix after the revision `from`, at most for `wait`.
+    void watch(const std::string& prefix, KeyRevision from, Millis wait, OnWatch then);
+    /// Creates a lease: keys bound to it are removed when it has not been renewed for `ttl`.
+    void create_lease(Millis ttl, OnLeaseCreated then);
+    void renew_lease(LeaseId lease, OnLeaseRenewal then);
+
+    /// Makes a small request if there has been no result for a while, so that reachable() is
+    /// recent. To be called at every turn of the event loop.
+    void probe_if_idle() { connection_.probe_if_idle(); }
+    /// Whether the latest request got a usable response.
+    bool reachable() const { return connection_.reachable(); }
+    /// For how long requests have gone without a usable response; zero while reachable.
+    Millis time_since_response() const { return connection_.time_since_response(); }
+
+    /// The most preconditions that the store takes in one transaction.
     std::size_t max_preconditions() const { return config_.kv_limits.max_preconditions(); }
 
   private:
-    void call(std::string method, std::string target, std::string body, Millis timeout,
-              sansio::Context::Continuation then);
-    struct ManyRead;
-    void read_many(const std::shared_ptr<ManyRead>& read);
-    void read_one(const std::shared_ptr<ManyRead>& read);
-    void take_page(const std::shared_ptr<ManyRead>& read, const sansio::HttpResult& reply);
-    void list_page(const std::string& prefix, const std::string& from,
-                   const std::shared_ptr<ListResult>& so_far,
-                   std::function<void(const ListResult&)> then);
-
-    sansio::Context& context_;
+    KvConnection connection_;
     const config::Config& config_;
-    bool reachable_ = true;
-    Instant last_good_{};
-    Instant last_answer_{};
-    bool probing_ = false;
 };
 
 }  // namespace dunebridge::kv
--- a/src/kv/records.cpp
+++ b/src/kv/records.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr char kSeparator = ',';
-constexpr std::size_t kPartOverhead = 64;  // JSON around a part's list, at most
+// The most bytes of JSON around the list of a dependency part.
+constexpr std::size_t kPartOverhead = 64;
 
 PackedRecord packed(Writer& writer) { return {writer.take(), writer.json_size()}; }
 
@@ -97,13 +98,13 @@
 }
 
 std::vector<PackedRecord> encode_dependency_parts(const std::vector<JobId>& jobs, bool direct,
-                                                  std::size_t most_json) {
+                                                  std::size_t max_json_size) {
     std::vector<PackedRecord> parts;
     std::string list;
     const JobId* previous = nullptr;
     for (const auto& job : jobs) {
         auto entry = difference(job, previous);
-        if (previous && list.size() + entry.size() + kPartOverhead > most_json) {
+        if (previous && list.size() + entry.size() + kPartOverhead > max_json_size) {
             parts.push_back(encode_part(list, direct));
             list.clear();
             entry = job.get();
