--- a/src/app/runtime.hpp
+++ b/src/app/runtime.hpp
@@ -1,4 +1,5 @@
-// Input and output around the core: carries requests and replies in, and effects out.
+/// \file
+/// The event loop around the controller.
 #pragma once
 
 #include <spdlog/common.h>
@@ -16,18 +17,24 @@
 /// The level of the logging library that stands for ours.
 spdlog::level::level_enum to_spdlog(sansio::LogLevel level);
 
+/// Carries requests and results of calls to the controller, and its effects to the network and the log.
+///
+/// Single-threaded: commands that arrive in one turn of the loop are applied as one batch. After a
+/// stall of the process nothing that was decided before it is carried out, since another controller
+/// may lead meanwhile.
 class Runtime {
   public:
     Runtime(const config::Config& config, sansio::LogLevel level, std::uint64_t seed);
+    /// Serves until the process ends.
     void run();
 
   private:
     void post(controller::Command&& command);
     void step();
     void carry_out(sansio::Effects&& effects);
-    void release(sansio::Effects&& effects);
-    void arm(Instant wake);
-    void catch_up(Millis late);
+    void refuse_effects(sansio::Effects&& effects);
+    void arm_timer(Instant wake);
+    void catch_up_after_stall(Millis late);
     boost::asio::awaitable<void> call(sansio::HttpCall call, Instant decided);
     void share_sockets();
     boost::asio::awaitable<void> sweep();
@@ -36,16 +43,16 @@
     const config::Config config_;
     const config::SocketBudget sockets_;
     boost::asio::io_context io_{1};
-    controller::Controller core_;
-    net::HttpClient services_;  // the state service and the cloud
-    net::HttpClient peers_;
-    net::HttpClient commands_;  // to workers
-    std::unique_ptr<net::HttpServer> front_;
-    std::unique_ptr<net::HttpServer> back_;
+    controller::Controller controller_;
+    net::HttpClient service_client_;  // to the key-value store and the cloud
+    net::HttpClient peer_client_;
+    net::HttpClient worker_client_;  // to workers
+    std::unique_ptr<net::HttpServer> public_server_;
+    std::unique_ptr<net::HttpServer> peer_server_;
     std::vector<controller::Command> queue_;
     bool step_posted_ = false;
     boost::asio::steady_timer timer_{io_};
-    Instant armed_{};  // when it fires; zero: not set
+    Instant timer_at_{};  // when the timer fires; zero: not set
 };
 
 }  // namespace dunebridge::app
--- a/src/net/asio.hpp
+++ b/src/net/asio.hpp
@@ -1,4 +1,5 @@
-// Asio, with what Boost 1.74's awaitable.hpp forgets to include: it uses std::exchange.
+/// \file
+/// Boost.Asio, with what Boost 1.74's awaitable.hpp forgets to include: it uses std::exchange.
 #pragma once
 
 #include <utility>
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -17,12 +17,13 @@
 
 namespace {
 constexpr std::size_t kIdlePerAddress = 8;
-// A deadline that is noticed so late, and what is given to read an answer that came before it.
-constexpr auto kStoodStill = std::chrono::milliseconds(500);
-constexpr Millis kTimeToRead{50};
-constexpr std::size_t kFirstBuffer = std::size_t{2} * 1024;  // most answers are read at once
-constexpr std::size_t kKeptBuffer = std::size_t{64} * 1024;
-// Watches have no size limit by protocol; this one only keeps a broken peer from filling memory.
+// A deadline that is noticed so late shows that the event loop stalled; a response that came before
+// the deadline may still be read within the grace time.
+constexpr auto kStallThreshold = std::chrono::milliseconds(500);
+constexpr Millis kGraceAfterStall{50};
+constexpr std::size_t kInitialBuffer = std::size_t{2} * 1024;  // most responses fit
+constexpr std::size_t kLargestKeptBuffer = std::size_t{64} * 1024;
+// The protocol does not limit watches; this bound keeps a broken peer from filling the memory.
 constexpr std::uint64_t kResponseLimit = std::uint64_t{16} * 1024 * 1024;
 }  // namespace
 
@@ -30,7 +31,7 @@
     Connection(asio::io_context& io, std::shared_ptr<std::size_t> count)
         : open(std::move(count)), socket(io), deadline(io) {
         ++*open;
-        buffer.reserve(kFirstBuffer);
+        buffer.reserve(kInitialBuffer);
     }
     ~Connection() { --*open; }
     Connection(const Connection&) = delete;
@@ -49,9 +50,9 @@
         error_code ec;
         socket.close(ec);
     }
-    // The peer may have closed a kept connection: a request written to it would be left without
-    // an answer although it was never executed.
-    bool usable() {
+    // The peer may have closed a kept connection. A request written to it would get no response,
+    // and the caller would have to assume that it may have been executed.
+    bool is_usable() {
         char byte = 0;
         const auto n = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
         return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -67,14 +68,14 @@
         it->second.pop_back();
         auto connection = std::move(place->second);
         idle_.erase(place);
-        if (connection->socket.is_open() && connection->usable()) found = std::move(connection);
+        if (connection->socket.is_open() && connection->is_usable()) found = std::move(connection);
     }
     if (it->second.empty()) by_address_.erase(it);
     return found;
 }
 
 HttpClient::ConnectionPtr HttpClient::new_connection() {
-    if (*open_ >= max_connections_) drop_oldest();
+    if (*open_ >= max_connections_) close_oldest_idle();
     if (*open_ >= max_connections_) return nullptr;
     return std::make_shared<Connection>(io_, open_);
 }
@@ -83,12 +84,12 @@
     auto& places = by_address_[address];
     if (places.size() >= kIdlePerAddress) return;
     connection->used = std::chrono::steady_clock::now();
-    // A large answer's buffer is not kept for the small ones that follow.
-    if (connection->buffer.capacity() > kKeptBuffer) connection->buffer = {};
+    // The buffer of a large response is not kept for the small ones that follow.
+    if (connection->buffer.capacity() > kLargestKeptBuffer) connection->buffer = {};
     places.push_back(idle_.emplace(idle_.end(), std::move(address), std::move(connection)));
 }
 
-void HttpClient::drop_oldest() {
+void HttpClient::close_oldest_idle() {
     if (idle_.empty()) return;
     const auto it = by_address_.find(idle_.front().first);
     std::erase(it->second, idle_.begin());
@@ -96,17 +97,21 @@
     idle_.pop_front();
 }
 
-// The connection is closed once the time is over, and the call ends with it.
+// Closes the connection when the timeout is over, which ends the call.
 void HttpClient::set_deadline(const ConnectionPtr& connection, Millis timeout) {
     connection->deadline.expires_after(timeout);
     connection->deadline.async_wait([weak = std::weak_ptr(connection)](error_code ec) {
         const auto c = weak.lock();
         const auto late = c ? std::chrono::steady_clock::now() - c->deadline.expiry()
                             : std::chrono::steady_clock::duration(-1);
-        // A timer that fired just as the call ended must not close the next call's connection.
+        // A timer that fired just as the call ended must not close the connection of the next call.
         if (ec || late < std::chrono::steady_clock::duration(0)) return;
-        // The process stood still: the answer may lie in the buffer.
-        late >= kStoodStill ? set_deadline(c, kTimeToRead) : c->close();
+        // After a stall the response may already lie in the socket's buffer.
+        if (late >= kStallThreshold) {
+            set_deadline(c, kGraceAfterStall);
+        } else {
+            c->close();
+        }
     });
 }
 
@@ -162,12 +167,12 @@
 
 void HttpClient::set_max(std::size_t max_connections) {
     max_connections_ = max_connections;
-    while (*open_ > max_connections_ && !idle_.empty()) drop_oldest();
+    while (*open_ > max_connections_ && !idle_.empty()) close_oldest_idle();
 }
 
 void HttpClient::sweep() {
     const auto limit = std::chrono::steady_clock::now() - idle_limit_;
-    while (!idle_.empty() && idle_.front().second->used < limit) drop_oldest();
+    while (!idle_.empty() && idle_.front().second->used < limit) close_oldest_idle();
 }
 
 }  // namespace dunebridge::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -15,28 +15,28 @@
 
 namespace {
 constexpr auto kSweepEvery = std::chrono::seconds(2);
-// For a first request to come, and for an answer to be taken.
-constexpr auto kPatience = std::chrono::seconds(10);
+// For the first request of a connection to arrive, and for a response to be read by the client.
+constexpr auto kClientTimeout = std::chrono::seconds(10);
 constexpr std::size_t kHeaderLimit = std::size_t{8} * 1024;
-constexpr std::size_t kKeptBuffer = std::size_t{16} * 1024;
-constexpr int kAcceptedAtOnce = 64;
-constexpr std::size_t kFirstBuffer = std::size_t{2} * 1024;  // most requests are read at once
-constexpr int kBacklog = 16384;  // every worker may return within the same second
-// The groups' shares of the places: fresh, worker, user.
+constexpr std::size_t kLargestKeptBuffer = std::size_t{16} * 1024;
+constexpr int kAcceptBatch = 64;
+constexpr std::size_t kInitialBuffer = std::size_t{2} * 1024;  // most requests fit
+constexpr int kListenBacklog = 16384;  // every worker may reconnect within the same second
+// Shares of the connections: fresh, worker, user.
 constexpr std::array<double, 3> kShares{0.05, 0.75, 0.2};
-// Above this part of all places, groups over their share keep no connection open.
-constexpr double kCrowded = 0.9;
+// Above this part of all connections, groups over their share keep no connection alive.
+constexpr double kCrowdedShare = 0.9;
 }  // namespace
 
 struct HttpServer::Session {
-    explicit Session(tcp::socket s) : socket(std::move(s)), answered(socket.get_executor()) {}
+    explicit Session(tcp::socket s) : socket(std::move(s)), response_ready(socket.get_executor()) {}
     tcp::socket socket;
-    asio::steady_timer answered;
+    asio::steady_timer response_ready;
     std::optional<sansio::HttpResponse> answer;
     std::chrono::steady_clock::time_point active = std::chrono::steady_clock::now();
     Group group = Group::fresh;
-    bool busy = false;     // has a request to be answered
-    bool writing = false;  // its answer is being written
+    bool busy = false;     // has a request without a response
+    bool writing = false;  // the response is being written
     Sessions::iterator place;
 
     void close() {
@@ -59,7 +59,7 @@
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(endpoint);
     acceptor_.non_blocking(true);
-    acceptor_.listen(kBacklog);
+    acceptor_.listen(kListenBacklog);
 }
 
 void HttpServer::start() {
@@ -73,69 +73,69 @@
         tcp::socket socket(io_);
         co_await acceptor_.async_accept(socket, asio::redirect_error(asio::use_awaitable, ec));
         if (ec) {
-            // Out of sockets, most likely: leave the queue to the kernel for a moment.
+            // Most likely out of sockets: leave the queue to the kernel for a moment.
             asio::steady_timer pause(io_, std::chrono::milliseconds(50));
             co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             continue;
         }
-        welcome(std::move(socket));
-        accept_waiting();
-        grown_();
+        admit(std::move(socket));
+        accept_queued();
+        connections_accepted_();
     }
 }
 
-// Those that wait besides, many at a time: when every worker returns, one in each turn of a busy
-// loop would be too few, and those who gave up meanwhile would hold the places in the queue.
-void HttpServer::accept_waiting() {
+// Accepts queued connections in batches. When every worker reconnects, one connection in each turn
+// of a busy event loop is too slow, and clients that gave up meanwhile would fill the queue.
+void HttpServer::accept_queued() {
     error_code ec;
-    for (int n = 0; n < kAcceptedAtOnce; ++n) {
+    for (int n = 0; n < kAcceptBatch; ++n) {
         tcp::socket socket(io_);
         acceptor_.accept(socket, ec);
         if (ec) return;
-        welcome(std::move(socket));
+        admit(std::move(socket));
     }
 }
 
-void HttpServer::welcome(tcp::socket socket) {
-    if (sessions_.size() >= limits_.connections && !make_place()) return;  // closes it
+void HttpServer::admit(tcp::socket socket) {
+    if (sessions_.size() >= limits_.connections && !evict_idle()) return;  // closes it
     error_code ec;
     socket.set_option(tcp::no_delay(true), ec);
     auto session = std::make_shared<Session>(std::move(socket));
     sessions_.emplace(session.get(), session);
-    join(*session, Group::fresh);
+    add_to_group(*session, Group::fresh);
     asio::co_spawn(io_, serve(session), asio::detached);
 }
 
-double HttpServer::fullness(Group group) const {
+double HttpServer::share_in_use(Group group) const {
     const auto g = static_cast<std::size_t>(group);
     return static_cast<double>(counts_[g]) /
            (kShares[g] * static_cast<double>(limits_.connections));
 }
 
-bool HttpServer::crowded(Group group) const {
+bool HttpServer::over_share(Group group) const {
     return static_cast<double>(sessions_.size()) >
-               kCrowded * static_cast<double>(limits_.connections) &&
-           fullness(group) > 1;
+               kCrowdedShare * static_cast<double>(limits_.connections) &&
+           share_in_use(group) > 1;
 }
 
-// Closes the connection that waits for nothing, and has for longest, of the group furthest over
-// its share. False if every connection has a request to be answered.
-bool HttpServer::make_place() {
+// Closes the longest idle connection of the group that is furthest over its share. Returns false if
+// every connection has a request without a response.
+bool HttpServer::evict_idle() {
     Session* oldest = nullptr;
     double most = 0;
     for (std::size_t g = 0; g < kGroups; ++g) {
-        const auto full = fullness(static_cast<Group>(g));
+        const auto full = share_in_use(static_cast<Group>(g));
         if (idle_[g].empty() || (oldest && full <= most)) continue;
         oldest = idle_[g].front();
         most = full;
     }
     if (!oldest) return false;
     oldest->close();
-    leave(*oldest);
+    remove(*oldest);
     return true;
 }
 
-void HttpServer::join(Session& session, Group group) {
+void HttpServer::add_to_group(Session& session, Group group) {
     session.group = group;
     ++counts_[static_cast<std::size_t>(group)];
     auto& idle = idle_[static_cast<std::size_t>(group)];
@@ -154,8 +154,8 @@
     }
 }
 
-// Gives the place up; the coroutine that serves the session ends by itself.
-void HttpServer::leave(Session& session) {
+// Forgets the session; the coroutine that serves it ends by itself.
+void HttpServer::remove(Session& session) {
     if (sessions_.erase(&session) == 0) return;
     set_busy(session, true);
     --counts_[static_cast<std::size_t>(session.group)];
@@ -166,32 +166,32 @@
     for (;;) {
         timer.expires_after(kSweepEvery);
         co_await timer.async_wait(asio::use_awaitable);
-        close_overdue();
+        close_expired();
     }
 }
 
-// Slow readers and writers are bounded in time, like connections that nobody uses.
-void HttpServer::close_overdue() {
+// Slow clients are bounded in time, as are connections that nobody uses.
+void HttpServer::close_expired() {
     const auto now = std::chrono::steady_clock::now();
     for (auto& [key, weak] : sessions_) {
         const auto session = weak.lock();
         if (!session || (session->busy && !session->writing)) continue;
         const bool impatient = session->writing || session->group == Group::fresh;
-        if (now - session->active > (impatient ? kPatience : limits_.idle)) session->close();
+        if (now - session->active > (impatient ? kClientTimeout : limits_.idle)) session->close();
     }
 }
 
-// Connections are counted by what they last asked for.
-void HttpServer::regroup(const std::shared_ptr<Session>& session, std::string_view target) {
+// Connections are counted by their last request.
+void HttpServer::change_group(const std::shared_ptr<Session>& session, std::string_view target) {
     const auto group = target == "/checkin" ? Group::worker : Group::user;
     if (group == session->group) return;
-    leave(*session);
+    remove(*session);
     sessions_.emplace(session.get(), session);
-    join(*session, group);
+    add_to_group(*session, group);
 }
 
-void HttpServer::hand_over(const std::shared_ptr<Session>& session, Request&& request,
-                           bool too_large) {
+void HttpServer::dispatch(const std::shared_ptr<Session>& session, Request&& request,
+                          bool too_large) {
     HttpRequest in;
     in.id = RequestId(++next_id_);
     in.method = std::string(request.method_string());
@@ -220,7 +220,7 @@
 
 asio::awaitable<void> HttpServer::serve(std::shared_ptr<Session> session) {
     boost::beast::flat_buffer buffer;
-    buffer.reserve(kFirstBuffer);
+    buffer.reserve(kInitialBuffer);
     bool keep = true;
     while (keep) {
         http::request_parser<http::string_body> parser;
@@ -230,20 +230,21 @@
         co_await http::async_read(session->socket, buffer, parser,
                                   asio::redirect_error(asio::use_awaitable, ec));
         const bool too_large = ec == http::error::body_limit || ec == http::error::header_limit;
-        // Its place may have been given away while the request was on its way.
+        // The session may have been evicted while the request was on its way.
         if ((ec && !too_large) || !sessions_.contains(session.get())) break;
         session->active = std::chrono::steady_clock::now();
         auto& request = parser.get();
-        regroup(session, std::string_view(request.target().data(), request.target().size()));
+        change_group(session, std::string_view(request.target().data(), request.target().size()));
         set_busy(*session, true);
         keep = !too_large && request.keep_alive();
-        hand_over(session, std::move(request), too_large);
-        // The answer is set and the wait cancelled by answer(); it never comes in this very turn.
+        dispatch(session, std::move(request), too_large);
+        // answer() sets the response and cancels the wait, never in this very turn of the loop.
         while (!session->answer.has_value()) {
-            session->answered.expires_at(std::chrono::steady_clock::time_point::max());
-            co_await session->answered.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+            session->response_ready.expires_at(std::chrono::steady_clock::time_point::max());
+            co_await session->response_ready.async_wait(
+                asio::redirect_error(asio::use_awaitable, ec));
         }
-        keep = keep && !crowded(session->group);
+        keep = keep && !over_share(session->group);
         auto answer = std::exchange(session->answer, std::nullopt);
         if (!answer) break;
         const auto response = response_to(std::move(*answer), keep);
@@ -254,11 +255,11 @@
         session->writing = false;
         if (ec) break;
         set_busy(*session, false);
-        if (buffer.capacity() > kKeptBuffer && buffer.size() == 0) buffer = {};
+        if (buffer.capacity() > kLargestKeptBuffer && buffer.size() == 0) buffer = {};
     }
     error_code ec;
     session->socket.shutdown(tcp::socket::shutdown_both, ec);
-    leave(*session);
+    remove(*session);
 }
 
 void HttpServer::answer(sansio::HttpResponse&& answer) {
@@ -267,7 +268,7 @@
     const auto session = std::move(it->second);
     waiting_.erase(it);
     session->answer = std::move(answer);
-    session->answered.cancel();
+    session->response_ready.cancel();
 }
 
 }  // namespace dunebridge::net
