--- a/src/app/runtime.cpp
+++ b/src/app/runtime.cpp
@@ -87,7 +87,7 @@
     const auto wall =
         std::chrono::duration_cast<Millis>(std::chrono::system_clock::now().time_since_epoch());
     const auto started = now();
-    auto effects = controller_.apply(std::move(batch), has_started, wall.count());
+    auto effects = controller_.apply(std::move(batch), started, wall.count());
     // The step itself may have stalled for longer than the leadership lasts.
     if (now() - started < config_.tuning.leader_lease) {
         carry_out(std::move(effects));
--- a/src/provisioning/demand_collector.cpp
+++ b/src/provisioning/demand_collector.cpp
@@ -16,8 +16,8 @@
 }  // namespace
 
 bool is_leaving(const Machine& machine, const BootMonitor& boot_monitor) {
-    return machine.instance.deleting || machine.cordoned || machine.preemption_at.has_value() ||
-           boot_monitor.replacement_allowed(machine);
+    return machine.instance.deleting || machine.worker.cordoned ||
+           machine.worker.preemption_at.has_value() || boot_monitor.replacement_allowed(machine);
 }
 
 bool DemandCollector::fits_existing_machine(const Demand& demand) const {
@@ -52,7 +52,8 @@
             limited ? team.cpus_max - state_.use(team.name).cpus : kUnlimitedCores;
     }
     for (const auto& [id, job] : state_.jobs()) {
-        if (job.state != JobState::active || job.waiting.empty() || job.is_blocked()) continue;
+        if (job.state != JobState::active || job.pending_tasks.empty() || job.is_blocked())
+            continue;
         auto demand = demand_of(job);
         const double cores = demand.task_resources.cores;
         auto& cores_left = cores_under_quota[job.spec.team];
--- a/src/provisioning/load_average.cpp
+++ b/src/provisioning/load_average.cpp
@@ -10,7 +10,7 @@
 
 void LoadAverage::observe() {
     double cores = 0;
-    for (const auto& [host, machine] : state_.machines()) cores += machine.used.cores;
+    for (const auto& [host, machine] : state_.machines()) cores += machine.allocated.cores;
     const auto now = context_.now();
     const bool first = last_observation_ == Instant{};
     const double elapsed_s = first ? 0 : to_seconds(now - last_observation_);
--- a/src/provisioning/machine_inventory.cpp
+++ b/src/provisioning/machine_inventory.cpp
@@ -94,7 +94,8 @@
     if (row.phase != wire::MachinePhase::failed || instance.failed) return;
     // A failed machine has stopped: whatever was on it is gone.
     instance.failed = true;
-    while (!machine->tasks.empty()) state_.remove(*machine, machine->tasks.begin()->first);
+    while (!machine->placements.empty())
+        state_.remove(*machine, machine->placements.begin()->first);
     on_machine_failed_(*machine);
 }
 
--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -88,7 +88,7 @@
     // Up long ago by the cloud's list, and yet without a heartbeat in this term: most likely gone.
     const bool lost =
         !worker.heartbeat_received && !machine.instance.starting && liveness_.is_late(machine);
-    const bool idle = worker.heartbeat_received && machine.tasks.empty();
+    const bool idle = worker.heartbeat_received && machine.placements.empty();
     MachineCapacity capacity;
     capacity.pool = {machine.machine_type, machine.zone, machine.spot};
     capacity.cores = type ? type->cores : 0;
@@ -110,7 +110,7 @@
     input.idle_timeout = config_.tuning.idle_return;
     for (const auto& [host, machine] : state_.machines()) {
         input.machines.push_back(capacity_of(machine));
-        input.placed_cores += machine.used.cores;
+        input.placed_cores += machine.allocated.cores;
     }
     input.pending = scale_out_.pending();
     input.in_backoff = scale_out_.in_backoff();
--- a/src/provisioning/release_policy.cpp
+++ b/src/provisioning/release_policy.cpp
@@ -51,7 +51,8 @@
     std::size_t known = 0;
     std::size_t silent = 0;
     for (const auto& [host, machine] : state_.machines()) {
-        const bool unheard_and_empty = !machine.worker.heartbeat_received && machine.tasks.empty();
+        const bool unheard_and_empty =
+            !machine.worker.heartbeat_received && machine.placements.empty();
         if (machine.instance.deleting || unheard_and_empty) continue;
         ++known;
         if (liveness_.is_late(machine)) ++silent;
@@ -78,7 +79,7 @@
 }
 
 std::optional<ScaleInReason> ReleasePolicy::reason_without_heartbeat(const Machine& machine) const {
-    if (machine.tasks.empty()) return reason_without_heartbeat_or_tasks(machine);
+    if (machine.placements.empty()) return reason_without_heartbeat_or_tasks(machine);
     // A new leader has received heartbeats only since its own term began.
     const auto known_for = context_.now() - machine.worker.first_known_at;
     const bool missing = machine.instance.missed_listings >= kMissedListings;
@@ -104,7 +105,8 @@
 
 std::optional<ScaleInReason> ReleasePolicy::reason_with_heartbeat(const Machine& machine) const {
     const bool missed_two = liveness_.is_silent(machine, config_.heartbeat_interval * 2);
-    const bool preempted = machine.preemption_at && context_.now() > *machine.preemption_at;
+    const bool preempted =
+        machine.worker.preemption_at && context_.now() > *machine.worker.preemption_at;
     if (preempted && missed_two) return ScaleInReason::preempted;
     const auto& instance = machine.instance;
     const bool missing = instance.listed && instance.missed_listings >= kMissedListings;
@@ -116,19 +118,20 @@
     // More likely this controller's own network than a failure of so many machines at once.
     const bool lease_long_expired = liveness_.is_silent(machine, config_.worker_lease * 2);
     if (most_machines_silent_ && !lease_long_expired) return std::nullopt;
-    const auto limit = machine.tasks.empty() ? config_.worker_lease : silence_limit();
+    const auto limit = machine.placements.empty() ? config_.worker_lease : silence_limit();
     if (liveness_.is_silent(machine, limit)) return ScaleInReason::heartbeats_lost;
-    if (machine.cordoned && machine.tasks.empty()) return ScaleInReason::drained;
+    if (machine.worker.cordoned && machine.placements.empty()) return ScaleInReason::drained;
     return std::nullopt;
 }
 
 bool ReleasePolicy::holds_cancelled_tasks_too_long(const Machine& machine) const {
     if (!ended_jobs_hold_tasks_) return false;
     const auto limit = config_.cancellation_deadline * 2 / 5;
-    return std::any_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& entry) {
-        const auto& job = *entry.second.job;
-        return job.state == JobState::terminal && context_.now() - job.terminal_since > limit;
-    });
+    return std::any_of(
+        machine.placements.begin(), machine.placements.end(), [&](const auto& entry) {
+            const auto& job = *entry.second.job;
+            return job.state == JobState::terminal && context_.now() - job.terminal_since > limit;
+        });
 }
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -26,7 +26,8 @@
     machine.instance.deleting = true;
     deleter_.add(machine.host);
     context_.log(LogLevel::info, "event=scale_in host={} type={} tasks={} why={}",
-                 machine.host.get(), machine.machine_type, machine.tasks.size(), to_string(reason));
+                 machine.host.get(), machine.machine_type, machine.placements.size(),
+                 to_string(reason));
 }
 
 void ScaleIn::check_machines() {
@@ -50,20 +51,20 @@
 
 void ScaleIn::update_total_resources(Machine& machine) const {
     const auto* type = machine_types_.find(machine.machine_type);
-    if (type) machine.total = {type->cores, type->accelerators, type->ram_gb};
+    if (type) machine.capacity = {type->cores, type->accelerators, type->ram_gb};
 }
 
 // On a cordoned machine every task is stopped. On one that is to be preempted, tasks that can save
 // a checkpoint are stopped just in time for that; the others run on for as long as they can.
 void ScaleIn::stop_tasks_before_departure(Machine& machine) {
-    if (!machine.preemption_at && !machine.cordoned) return;
-    for (auto& [key, placement] : machine.tasks) {
+    if (!machine.worker.preemption_at && !machine.worker.cordoned) return;
+    for (auto& [key, placement] : machine.placements) {
         const auto& spec = placement.job->spec;
         const double checkpoint_s = spec.checkpoint_every_s > 0 ? spec.checkpoint_s : 0.0;
         const auto saved_at = context_.now() + from_seconds(checkpoint_s) + kCheckpointMargin;
-        const bool last_chance =
-            machine.preemption_at && checkpoint_s > 0 && saved_at >= *machine.preemption_at;
-        if (machine.cordoned || last_chance) state_.stop_task(placement, checkpoint_s);
+        const bool last_chance = machine.worker.preemption_at && checkpoint_s > 0 &&
+                                 saved_at >= *machine.worker.preemption_at;
+        if (machine.worker.cordoned || last_chance) state_.stop_task(placement, checkpoint_s);
     }
 }
 
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -58,7 +58,7 @@
 std::map<InstancePool, std::size_t> ScaleOut::pending() const {
     std::map<InstancePool, std::size_t> out;
     for (const auto& key : state_.unanswered_scale_outs()) {
-        const auto& request = state_.rentals().at(key).request;
+        const auto& request = state_.scale_outs().at(key).request;
         out[pool_of(request)] += request.how_many;
     }
     return out;
@@ -86,7 +86,7 @@
         if (!may_send(key)) continue;
         if (!cloud_.take_request()) return;
         in_flight_.insert(key);
-        const auto& request = state_.rentals().at(key).request;
+        const auto& request = state_.scale_outs().at(key).request;
         cloud_.provision(request, [this, request,
                                    generation = state_.generation()](const ScaleOutResult& result) {
             if (state_.usable_in(generation)) handle_response(request, result);
--- a/src/scheduler/availability_estimator.hpp
+++ b/src/scheduler/availability_estimator.hpp
@@ -4,7 +4,7 @@
 
 #include "config/config.hpp"
 #include "sansio/context.hpp"
-#include "state/model.hpp"
+#include "state/machine.hpp"
 #include "state/run_time_estimator.hpp"
 
 namespace dunebridge::scheduler {
--- a/src/scheduler/best_fit_placement.cpp
+++ b/src/scheduler/best_fit_placement.cpp
@@ -13,7 +13,7 @@
         capacities_.capacities(), job.task_resources(),
         [&](MachineIndex index) { return is_eligible(job, capacities_.machine(index)); },
         [&](MachineIndex index) {
-            return capacities_.machine(index).images.contains(job.spec.image);
+            return capacities_.machine(index).worker.images.contains(job.spec.image);
         });
     std::size_t placed = 0;
     for (const auto index : order) {
--- a/src/scheduler/best_fit_placement.hpp
+++ b/src/scheduler/best_fit_placement.hpp
@@ -8,7 +8,7 @@
 #include "scheduler/capacity_table.hpp"
 #include "scheduler/task_constraints.hpp"
 #include "state/cluster_state.hpp"
-#include "state/model.hpp"
+#include "state/job.hpp"
 
 namespace dunebridge::scheduler {
 
--- a/src/scheduler/capacity_table.cpp
+++ b/src/scheduler/capacity_table.cpp
@@ -11,7 +11,8 @@
 
 void CapacityTable::build(double min_cores) {
     for (auto& [host, machine] : state_.machines()) {
-        const double cores = machine.total.cores - machine.used.cores + machine.releasing.cores;
+        const double cores =
+            machine.capacity.cores - machine.allocated.cores + machine.releasing.cores;
         if (cores + kRoundingError < min_cores) {
             full_machines_.push_back(&machine);
         } else if (liveness_.is_schedulable(machine)) {
@@ -33,8 +34,8 @@
 }
 
 void CapacityTable::add(Machine& machine) {
-    FreeCapacity capacity{machine.total, machine.total, {}};
-    capacity.free.subtract(machine.used);
+    FreeCapacity capacity{machine.capacity, machine.capacity, {}};
+    capacity.free.subtract(machine.allocated);
     capacity.free_after_stops = capacity.free;
     capacity.free_after_stops.add(machine.releasing);
     machines_.push_back(&machine);
--- a/src/scheduler/capacity_table.hpp
+++ b/src/scheduler/capacity_table.hpp
@@ -8,7 +8,7 @@
 #include "base/resources.hpp"
 #include "scheduler/bin_packing.hpp"
 #include "state/cluster_state.hpp"
-#include "state/model.hpp"
+#include "state/machine.hpp"
 #include "state/worker_liveness.hpp"
 
 namespace dunebridge::scheduler {
--- a/src/scheduler/machine_reservations.cpp
+++ b/src/scheduler/machine_reservations.cpp
@@ -20,23 +20,24 @@
 
 void MachineReservations::expire(const std::set<std::uint64_t>& jobs) {
     for (auto& [host, machine] : state_.machines()) {
-        if (machine.reserved_for == 0) continue;
-        const bool is_over = context_.now() - machine.reserved_since > kMaxReservation;
-        if (is_over || !jobs.contains(machine.reserved_for)) machine.reserved_for = 0;
+        if (machine.reservation.job_sequence == 0) continue;
+        const bool is_over = context_.now() - machine.reservation.since > kMaxReservation;
+        if (is_over || !jobs.contains(machine.reservation.job_sequence))
+            machine.reservation.job_sequence = 0;
     }
 }
 
 bool MachineReservations::can_be_reserved(const Job& job, const Machine& machine) const {
-    const auto since = machine.reserved_since;
+    const auto since = machine.reservation.since;
     const bool open_to_others =
         since != Instant{} && context_.now() - since < kMaxReservation + kOpenAfterReservation;
-    return !open_to_others && machine.total.holds(job.task_resources()) &&
+    return !open_to_others && machine.capacity.holds(job.task_resources()) &&
            liveness_.is_schedulable(machine) && is_eligible(job, machine);
 }
 
 // The share of the machine that must still become free, weighed by how soon that begins.
 double MachineReservations::expected_wait_s(const Machine& machine) const {
-    const double used_share = machine.used.cores / std::max(machine.total.cores, 1.0);
+    const double used_share = machine.allocated.cores / std::max(machine.capacity.cores, 1.0);
     return availability_.earliest_available_s(machine) * (1 + used_share);
 }
 
@@ -45,8 +46,8 @@
     Machine* best = nullptr;
     double best_wait_s = 0;
     for (auto& [host, machine] : state_.machines()) {
-        if (machine.reserved_for == job.sequence) return;
-        if (machine.reserved_for != 0) {
+        if (machine.reservation.job_sequence == job.sequence) return;
+        if (machine.reservation.job_sequence != 0) {
             ++reserved;
             continue;
         }
@@ -57,8 +58,8 @@
         best_wait_s = wait_s;
     }
     if (!best || reserved * kMachinesPerReservation > state_.machines().size()) return;
-    best->reserved_for = job.sequence;
-    best->reserved_since = context_.now();
+    best->reservation.job_sequence = job.sequence;
+    best->reservation.since = context_.now();
 }
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -43,7 +43,7 @@
 }
 
 bool PendingQueue::is_high_priority(const Job& job) const {
-    return job.priority >= config_.tuning.preempts_from;
+    return job.dependencies.effective_priority >= config_.tuning.preempts_from;
 }
 
 std::vector<PendingJob> PendingQueue::jobs() {
@@ -60,12 +60,13 @@
 std::vector<PendingJob> PendingQueue::collect() {
     std::vector<PendingJob> pending;
     for (auto& [id, job] : state_.jobs()) {
-        if (job.state != JobState::active || job.waiting.empty() || job.is_blocked()) continue;
-        if (context_.now() < job.backoff_until) {
-            context_.request_wake(job.backoff_until);
+        if (job.state != JobState::active || job.pending_tasks.empty() || job.is_blocked())
+            continue;
+        if (context_.now() < job.backoff.until) {
+            context_.request_wake(job.backoff.until);
             continue;
         }
-        const auto waited = context_.now() - job.runnable_since;
+        const auto waited = context_.now() - job.dependencies.runnable_since;
         // A job that fails everywhere must not get ahead of the others by failing.
         const bool starving =
             !job.has_started() && !job.failures.faulty && waited > kStarvationLimit;
@@ -82,7 +83,7 @@
     } else if (is_high_priority(job) || pending.within_guarantee) {
         group = QueueGroup::preferred;
     }
-    const int priority = static_cast<int>(job.priority);
+    const int priority = static_cast<int>(job.dependencies.effective_priority);
     return {group, -priority, pending.due, job.sequence};
 }
 
@@ -93,7 +94,8 @@
         if (job.state == JobState::active && !job.is_blocked()) jobs.push_back(&job);
     }
     std::sort(jobs.begin(), jobs.end(), [](const Job* a, const Job* b) {
-        return std::tie(a->runnable_since, a->sequence) < std::tie(b->runnable_since, b->sequence);
+        return std::tie(a->dependencies.runnable_since, a->sequence) <
+               std::tie(b->dependencies.runnable_since, b->sequence);
     });
     return jobs;
 }
@@ -131,7 +133,8 @@
 Instant PendingQueue::due(const Job& job) const {
     const double within_s =
         std::min(kDefaultObjective_s, objectives_of(job).finished_s.value_or(kDefaultObjective_s));
-    return std::min(job.runnable_since + from_seconds(within_s), job.latest_end);
+    return std::min(job.dependencies.runnable_since + from_seconds(within_s),
+                    job.dependencies.latest_end);
 }
 
 Instant PendingQueue::latest_start(const PendingJob& pending) const {
@@ -144,8 +147,8 @@
     const double run_s = std::max(run_time_estimator_.expected_s(job), job.spec.expected_s) *
                          state::kRunTimeUncertainty;
     const auto wait_s = std::max(0.0, within_s - fetch_s - kPreemptionDelay_s);
-    const auto latest = job.runnable_since + from_seconds(wait_s);
-    if (job.latest_end == Instant::max()) return latest;
+    const auto latest = job.dependencies.runnable_since + from_seconds(wait_s);
+    if (job.dependencies.latest_end == Instant::max()) return latest;
     return std::min(latest, due(job) - from_seconds(run_s + fetch_s + kPreemptionDelay_s));
 }
 
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -52,7 +52,7 @@
     for (const auto& candidate : *candidates_) {
         if (tasks == 0) return;
         const auto index = candidate.machine;
-        if (candidate.placement->stopping) continue;
+        if (candidate.placement->stop.requested) continue;
         if (!is_eligible(job, capacities_.machine(index))) continue;
         auto free_after_stop = capacities_.capacities()[index].free_after_stops;
         free_after_stop.add(candidate.placement->job->task_resources());
@@ -73,7 +73,7 @@
 
 void Preemption::preempt(const Candidate& candidate, const Job& for_job) {
     auto& placement = *candidate.placement;
-    placement.preempted = true;
+    placement.stop.preempted = true;
     state_.stop_task(placement, checkpoint_grace(*placement.job));
     capacities_.add_stopped(candidate.machine, placement.job->task_resources());
     context_.log(sansio::LogLevel::info, "event=preempt victim={} for={} host={}",
@@ -83,7 +83,7 @@
 bool Preemption::may_be_preempted(const Placement& placement) const {
     const auto& job = *placement.job;
     if (pending_queue_.is_high_priority(job)) return false;
-    if (placement.stopping || !placement.committed) return false;
+    if (placement.stop.requested || !placement.is_committed()) return false;
     return !job.tasks[placement.index].preemption_protected;
 }
 
@@ -93,7 +93,7 @@
     candidates_.emplace();
     capacities_.add_full_machines();
     for (MachineIndex index = 0; index < capacities_.size(); ++index) {
-        for (auto& [key, placement] : capacities_.machine(index).tasks) {
+        for (auto& [key, placement] : capacities_.machine(index).placements) {
             if (may_be_preempted(placement)) candidates_->push_back({&placement, index});
         }
     }
--- a/src/scheduler/task_constraints.cpp
+++ b/src/scheduler/task_constraints.cpp
@@ -44,7 +44,8 @@
 bool is_eligible(const Job& job, const Machine& machine) {
     const auto& spec = job.spec;
     if (machine.spot && !spec.spot_allowed) return false;
-    if (machine.reserved_for != 0 && machine.reserved_for != job.sequence) return false;
+    if (machine.reservation.job_sequence != 0 && machine.reservation.job_sequence != job.sequence)
+        return false;
     if (spec.zone && *spec.zone != machine.zone) return false;
     if (!has_allowed_type(job, machine)) return false;
     if (spec.together && !keeps_together(job, machine)) return false;
--- a/src/scheduler/task_constraints.hpp
+++ b/src/scheduler/task_constraints.hpp
@@ -7,7 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "state/model.hpp"
+#include "state/job.hpp"
+#include "state/machine.hpp"
 
 namespace dunebridge::scheduler {
 
--- a/src/scheduler/team_quota.hpp
+++ b/src/scheduler/team_quota.hpp
@@ -5,7 +5,8 @@
 #include <cstddef>
 
 #include "config/config.hpp"
-#include "state/model.hpp"
+#include "state/job.hpp"
+#include "state/team_usage.hpp"
 
 namespace dunebridge::scheduler {
 
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -58,16 +58,17 @@
     auto& job = it->second;
     job.spec = std::move(record.spec);
     job.sequence = ++next_sequence_;
-    job.dependency_parts = record.dependency_parts;
+    job.dependencies.record_count = record.dependency_parts;
     // Time of day may differ between nodes; a job is never from the future.
     const auto age = std::max<std::int64_t>(0, context_.wall_ms() - record.submitted_ms);
-    job.submitted = job.runnable_since = context_.now() - Millis(age);
-    job.priority = job.spec.priority;
-    if (job.spec.due_s) job.latest_end = job.submitted + from_seconds(*job.spec.due_s);
+    job.submitted_at = job.dependencies.runnable_since = context_.now() - Millis(age);
+    job.dependencies.effective_priority = job.spec.priority;
+    if (job.spec.due_s)
+        job.dependencies.latest_end = job.submitted_at + from_seconds(*job.spec.due_s);
     job.tasks.resize(job.spec.task_count);
-    job.waiting.resize(job.spec.task_count);
+    job.pending_tasks.resize(job.spec.task_count);
     for (std::uint32_t i = 0; i < job.spec.task_count; ++i)
-        job.waiting[i] = job.spec.task_count - 1 - i;
+        job.pending_tasks[i] = job.spec.task_count - 1 - i;
     stored_.set_if_unknown(kv::job_key(it->first), revision);
     return &job;
 }
@@ -96,13 +97,13 @@
     job->state = JobState::terminal;
     const auto ago = at_ms > 0 ? std::max<std::int64_t>(0, context_.wall_ms() - at_ms) : 0;
     job->terminal_since = context_.now() - Millis(ago);
-    job->waiting.clear();
+    job->pending_tasks.clear();
     dirty_.erase(kv::terminal_key(id));
     for (auto& task : job->tasks) {
-        if (!task.at) continue;
-        auto& machine = *task.at->machine;
-        if (!task.at->committed && !task.at->in_commit) {
-            remove(machine, {job->sequence, task.at->index});
+        if (!task.placement) continue;
+        auto& machine = *task.placement->machine;
+        if (task.placement->commit == CommitState::uncommitted) {
+            remove(machine, {job->sequence, task.placement->index});
         }
         request_commands(machine);
     }
@@ -113,7 +114,7 @@
     job.tasks[index].done = true;
     ++job.done;
     // Seldom: most tasks are placed when they are done, and the list may be long.
-    if (!job.tasks[index].at) std::erase(job.waiting, index);
+    if (!job.tasks[index].placement) std::erase(job.pending_tasks, index);
     mark_progress_dirty(job, index, CommitUrgency::batched);
     finish_if_done(job);
 }
@@ -127,8 +128,8 @@
 // A job that it depends on is cancelled: it has begun nothing, and ends with it.
 void ClusterState::cancel_with_dependency(Job& job) {
     job.state = JobState::finishing;
-    job.cancelled_by_dependency = true;
-    job.waiting.clear();
+    job.dependencies.cancelled = true;
+    job.pending_tasks.clear();
     dirty_.mark(kv::terminal_key(job.spec.id), CommitUrgency::terminal);
     context_.log(sansio::LogLevel::info, "event=cancelled_by_dependency id={} term={}",
                  job.spec.id.get(), election_.term().get());
@@ -144,13 +145,14 @@
     for (auto it = jobs_.begin(); it != jobs_.end();) {
         auto& job = it->second;
         if (job.state != JobState::terminal || job.placed > 0 ||
-            job.parts_read < job.dependency_parts || dirty_.find(kv::terminal_key(it->first))) {
+            job.dependencies.records_read < job.dependencies.record_count ||
+            dirty_.find(kv::terminal_key(it->first))) {
             ++it;
             continue;
         }
         const auto ranges = std::move(job.ranges);
         const auto id = it->first;
-        const auto dependency_parts = job.dependency_parts;
+        const auto dependency_parts = job.dependencies.record_count;
         it = jobs_.erase(it);
         // The job's own record goes last: without it nobody would know what its tasks take.
         for (const auto& range : ranges) {
@@ -186,19 +188,20 @@
     }
     auto& machine = create_machine(host);
     describe(machine, machine_type, zone, spot);
-    machine.rental = "x-" + host.get();
-    scale_outs_[machine.rental] = {{machine.rental, machine_type, zone, spot, 1}, true, {host}};
-    dirty_.mark(kScaleOutPrefix + machine.rental, CommitUrgency::batched);
+    machine.scale_out_key = "x-" + host.get();
+    scale_outs_[machine.scale_out_key] = {
+        {machine.scale_out_key, machine_type, zone, spot, 1}, true, {host}};
+    dirty_.mark(kScaleOutPrefix + machine.scale_out_key, CommitUrgency::batched);
     return machine;
 }
 
 void ClusterState::describe(Machine& machine, const std::string& machine_type,
                             const std::string& zone, bool spot) {
-    if (machine.machine_type != machine_type) machine.total = {};
+    if (machine.machine_type != machine_type) machine.capacity = {};
     machine.machine_type = machine_type;
     machine.spot = spot;
     if (machine.zone == zone) return;
-    for (auto& [key, p] : machine.tasks) {
+    for (auto& [key, p] : machine.placements) {
         auto& zones = p.job->zones;
         if (--zones[machine.zone] == 0) zones.erase(machine.zone);
         ++zones[zone];
@@ -222,15 +225,15 @@
 }
 
 void ClusterState::detach_from_scale_out(const Machine& machine) {
-    const auto it = scale_outs_.find(machine.rental);
+    const auto it = scale_outs_.find(machine.scale_out_key);
     if (it == scale_outs_.end()) return;
     it->second.hosts.erase(machine.host);
-    dirty_.mark(kScaleOutPrefix + machine.rental, CommitUrgency::batched);
+    dirty_.mark(kScaleOutPrefix + machine.scale_out_key, CommitUrgency::batched);
     if (it->second.hosts.empty()) scale_outs_.erase(it);
 }
 
 void ClusterState::drop_machine(Machine& machine) {
-    while (!machine.tasks.empty()) remove(machine, machine.tasks.begin()->first);
+    while (!machine.placements.empty()) remove(machine, machine.placements.begin()->first);
     detach_from_scale_out(machine);
     std::erase(needing_commands_, &machine);
     const auto host = machine.host;
@@ -243,12 +246,13 @@
     placement.job = &job;
     placement.machine = &machine;
     placement.index = index;
-    const auto [it, added] = machine.tasks.emplace(PlacementKey{job.sequence, index}, placement);
+    const auto [it, added] =
+        machine.placements.emplace(PlacementKey{job.sequence, index}, placement);
     if (!added) return;
-    job.tasks[index].at = &it->second;
+    job.tasks[index].placement = &it->second;
     ++job.placed;
     ++job.zones[machine.zone];
-    machine.used.add(job.task_resources());
+    machine.allocated.add(job.task_resources());
     auto& use = use_[job.spec.team];
     use.cpus += job.spec.cores;
     use.gpus += job.spec.accelerators;
@@ -260,8 +264,8 @@
 }
 
 void ClusterState::place(Job& job, Machine& machine) {
-    const auto index = job.waiting.back();
-    job.waiting.pop_back();
+    const auto index = job.pending_tasks.back();
+    job.pending_tasks.pop_back();
     Placement p;
     p.attempt = Attempt(++next_attempt_);
     p.placed_at = context_.now();
@@ -273,24 +277,24 @@
                                      Attempt attempt) {
     Placement p;
     p.attempt = attempt;
-    p.committed = true;
-    p.sent = StartDelivery::awaiting_confirmation;
+    p.commit = CommitState::committed;
+    p.start.delivery = StartDelivery::awaiting_confirmation;
     p.placed_at = context_.now();
     attach(machine, job, index, p);
 }
 
 void ClusterState::remove(Machine& machine, PlacementKey key) {
-    const auto it = machine.tasks.find(key);
-    if (it == machine.tasks.end()) return;
+    const auto it = machine.placements.find(key);
+    if (it == machine.placements.end()) return;
     set_running(it->second, false);
     auto& job = *it->second.job;
     const auto index = it->second.index;
-    if (it->second.stopping) machine.releasing.subtract(job.task_resources());
-    machine.used.subtract(job.task_resources());
-    machine.tasks.erase(it);
-    if (machine.tasks.empty()) machine.used = machine.releasing = {};
+    if (it->second.stop.requested) machine.releasing.subtract(job.task_resources());
+    machine.allocated.subtract(job.task_resources());
+    machine.placements.erase(it);
+    if (machine.placements.empty()) machine.allocated = machine.releasing = {};
     auto& task = job.tasks[index];
-    task.at = nullptr;
+    task.placement = nullptr;
     --job.placed;
     if (--job.zones[machine.zone] == 0) job.zones.erase(machine.zone);
     auto& use = use_[job.spec.team];
@@ -298,15 +302,15 @@
     use.gpus -= job.spec.accelerators;
     if (use.cpus < kLeastUse) use.cpus = 0;
     if (use.gpus < kLeastUse) use.gpus = 0;
-    if (job.state == JobState::active && !task.done) job.waiting.push_back(index);
+    if (job.state == JobState::active && !task.done) job.pending_tasks.push_back(index);
     machine.idle_since = context_.now();
     mark_progress_dirty(job, index, CommitUrgency::batched);
 }
 
 void ClusterState::stop_task(Placement& p, double grace_s) {
-    if (p.stopping) return;
-    p.stopping = true;
-    p.grace_s = grace_s;
+    if (p.stop.requested) return;
+    p.stop.requested = true;
+    p.stop.grace = Seconds(grace_s);
     p.machine->releasing.add(p.job->task_resources());
     request_commands(*p.machine);
 }
@@ -332,7 +336,7 @@
     for (const auto& host : rental.hosts) {
         auto& machine = create_machine(host);
         describe(machine, rental.request.machine_type, rental.request.zone, rental.request.spot);
-        machine.rental = key;
+        machine.scale_out_key = key;
     }
     scale_outs_.emplace(key, std::move(rental));
 }
@@ -350,7 +354,7 @@
         if (known) detach_from_scale_out(*known);
         auto& machine = known ? *known : create_machine(host);
         describe(machine, rental.request.machine_type, rental.request.zone, rental.request.spot);
-        machine.rental = idempotency_key;
+        machine.scale_out_key = idempotency_key;
         rental.hosts.insert(host);
     }
     dirty_.mark(kScaleOutPrefix + idempotency_key, CommitUrgency::batched);
--- a/src/state/cluster_state.hpp
+++ b/src/state/cluster_state.hpp
@@ -24,8 +24,13 @@
 #include "sansio/context.hpp"
 #include "state/dependency_graph.hpp"
 #include "state/dirty_records.hpp"
-#include "state/model.hpp"
+#include "state/job.hpp"
+#include "state/machine.hpp"
+#include "state/placement.hpp"
+#include "state/scale_out_record.hpp"
 #include "state/stored_records.hpp"
+#include "state/team_usage.hpp"
+#include "state/version.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::state {
@@ -107,7 +112,7 @@
     // The cloud's answer: the machines that the request has brought. Without any it is over.
     void scale_out_answered(const std::string& idempotency_key,
                             const std::vector<MachineName>& hosts);
-    const std::map<std::string, ScaleOutRecord>& rentals() const { return scale_outs_; }
+    const std::map<std::string, ScaleOutRecord>& scale_outs() const { return scale_outs_; }
     // Idempotency keys of the requests that the cloud has not answered yet.
     const std::set<std::string>& unanswered_scale_outs() const { return unanswered_scale_outs_; }
     bool scale_out_committed(const std::string& idempotency_key) const;
--- a/src/state/cluster_state_follower.cpp
+++ b/src/state/cluster_state_follower.cpp
@@ -94,7 +94,7 @@
     }
     if (!job) return;
     complete_ranges(*job, state_.format());
-    if (job->dependency_parts > 0) {
+    if (job->dependencies.record_count > 0) {
         read_dependencies(job->spec.id);
     } else {
         state_.dependencies().add(*job);
@@ -106,7 +106,7 @@
     const auto handle = [this, id](const kv::ListResult& records) {
         auto* job = state_.find_job(id);
         if (!job) return;
-        if (!records.available || records.entries.size() != job->dependency_parts) {
+        if (!records.available || records.entries.size() != job->dependencies.record_count) {
             context_.after(kDependenciesRetryBackoff,
                            while_in_term(state_, [this, id] { read_dependencies(id); }));
             return;
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -137,8 +137,8 @@
     ids.reserve(state_.jobs().size());
     for (auto& [id, job] : state_.jobs()) {
         complete_ranges(job, state_.format());
-        std::erase_if(job.waiting, [&tasks = job.tasks](std::uint32_t index) {
-            return tasks[index].done || tasks[index].at != nullptr;
+        std::erase_if(job.pending_tasks, [&tasks = job.tasks](std::uint32_t index) {
+            return tasks[index].done || tasks[index].placement != nullptr;
         });
         job.done = static_cast<std::uint32_t>(std::count_if(
             job.tasks.begin(), job.tasks.end(), [](const Task& task) { return task.done; }));
@@ -201,7 +201,8 @@
 // start.
 void ClusterStateLoader::link_dependencies() {
     for (auto& [id, job] : state_.jobs()) {
-        if (job.state == JobState::active && job.parts_read < job.dependency_parts) {
+        if (job.state == JobState::active &&
+            job.dependencies.records_read < job.dependencies.record_count) {
             resign_over_invalid_record(context_, election_,
                                        {kv::dependency_prefix(id), "parts are missing"});
             return;
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -128,7 +128,11 @@
 void ClusterStateWriter::handle_not_committed(const StateTransaction& transaction,
                                               const kv::TransactionResult& result) {
     for (auto& [host, machine] : state_.machines()) {
-        for (auto& [key, placement] : machine.tasks) placement.in_commit = false;
+        for (auto& [key, placement] : machine.placements) {
+            if (placement.commit == CommitState::in_transaction) {
+                placement.commit = CommitState::uncommitted;
+            }
+        }
     }
     if (result.outcome == TransactionOutcome::conflict) {
         handle_conflict(result);
@@ -174,13 +178,12 @@
     if (!tasks) return;
     bool has_uncommitted = false;
     for_each_placement(tasks, [this, &has_uncommitted](Placement& placement) {
-        if (placement.committed) return;
-        if (!placement.in_commit) {
+        if (placement.is_committed()) return;
+        if (placement.commit != CommitState::in_transaction) {
             has_uncommitted = true;
             return;
         }
-        placement.in_commit = false;
-        placement.committed = true;
+        placement.commit = CommitState::committed;
         state_.request_commands(*placement.machine);
     });
     if (!has_uncommitted) state_.dirty().lower_to_cadence(key);
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -4,6 +4,7 @@
 
 #include "kv/keys.hpp"
 #include "kv/records.hpp"
+#include "state/run_time_estimator.hpp"
 
 namespace dunebridge::state {
 
@@ -40,7 +41,7 @@
     if (job.spec.waits_on.empty() || job.state != JobState::active) return;
     if (job.has_started()) return;  // all that it needs was done when an earlier leader placed it
     for (const auto& dependency : job.spec.waits_on) {
-        job.unmet_dependencies.insert(dependency);
+        job.dependencies.unmet.insert(dependency);
         dependents_[dependency].push_back(job.spec.id);
     }
     propagate_priority(job);
@@ -65,8 +66,8 @@
             if (how == wire::JobPhase::cancelled) {
                 callbacks_.cancel(*job);
                 ends.push_back(next);
-            } else if (job->unmet_dependencies.erase(end) > 0 && job->unmet_dependencies.empty()) {
-                job->runnable_since = context_.now();
+            } else if (job->dependencies.unmet.erase(end) > 0 && job->dependencies.unmet.empty()) {
+                job->dependencies.runnable_since = context_.now();
             }
         }
     }
@@ -115,16 +116,19 @@
     while (!reached.empty()) {
         const auto& job = *reached.back();
         reached.pop_back();
-        auto latest_end = job.latest_end;
+        auto latest_end = job.dependencies.latest_end;
         if (latest_end != Instant::max()) {
             latest_end -= from_seconds(job.spec.expected_s * kRunTimeUncertainty) + kHandover;
         }
-        for (const auto& dependency : job.unmet_dependencies) {
+        for (const auto& dependency : job.dependencies.unmet) {
             Job* other = find(dependency);
-            if (!other || (other->priority >= job.priority && other->latest_end <= latest_end))
+            if (!other ||
+                (other->dependencies.effective_priority >= job.dependencies.effective_priority &&
+                 other->dependencies.latest_end <= latest_end))
                 continue;
-            other->priority = std::max(other->priority, job.priority);
-            other->latest_end = std::min(other->latest_end, latest_end);
+            other->dependencies.effective_priority = std::max(
+                other->dependencies.effective_priority, job.dependencies.effective_priority);
+            other->dependencies.latest_end = std::min(other->dependencies.latest_end, latest_end);
             reached.push_back(other);
         }
     }
--- a/src/state/dependency_graph.hpp
+++ b/src/state/dependency_graph.hpp
@@ -12,7 +12,7 @@
 
 #include "kv/client.hpp"
 #include "sansio/context.hpp"
-#include "state/model.hpp"
+#include "state/job.hpp"
 
 namespace dunebridge::state {
 
--- a/src/state/dirty_records.hpp
+++ b/src/state/dirty_records.hpp
@@ -9,7 +9,7 @@
 
 #include "base/types.hpp"
 #include "sansio/context.hpp"
-#include "state/model.hpp"
+#include "state/version.hpp"
 
 namespace dunebridge::state {
 
--- a/src/state/fencing_token.hpp
+++ b/src/state/fencing_token.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 
 #include "base/types.hpp"
-#include "state/model.hpp"
+#include "state/placement.hpp"
 
 namespace dunebridge::state {
 
--- a/src/state/pending_splits.hpp
+++ b/src/state/pending_splits.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "state/model.hpp"
+#include "state/job.hpp"
 
 namespace dunebridge::state {
 
--- a/src/state/record_codec.cpp
+++ b/src/state/record_codec.cpp
@@ -7,6 +7,8 @@
 
 #include "config/record_format.hpp"
 #include "kv/keys.hpp"
+#include "state/machine.hpp"
+#include "state/placement.hpp"
 
 namespace dunebridge::state {
 
@@ -62,7 +64,7 @@
     PlacementsByMachine result;
     std::uint64_t lowest = std::numeric_limits<std::uint64_t>::max();
     for (auto index = begin; index < end; ++index) {
-        const auto* placement = job.tasks[index].at;
+        const auto* placement = job.tasks[index].placement;
         if (!placement) continue;
         result.machines[placement->machine->host.get()].push_back(placement);
         lowest = std::min(lowest, placement->attempt.get());
--- a/src/state/record_codec.hpp
+++ b/src/state/record_codec.hpp
@@ -12,7 +12,8 @@
 
 #include "kv/client.hpp"
 #include "kv/records.hpp"
-#include "state/model.hpp"
+#include "state/job.hpp"
+#include "state/scale_out_record.hpp"
 
 namespace dunebridge::state {
 
--- a/src/state/record_reading.cpp
+++ b/src/state/record_reading.cpp
@@ -22,7 +22,7 @@
 
 void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Entry& row) {
     const auto part = kv::decode_dependency_part(row.value);
-    ++job.parts_read;
+    ++job.dependencies.records_read;
     cluster_state.stored().set(row.key, row.rev);
     if (!part.direct) return;
     auto& direct = job.spec.waits_on;
--- a/src/state/run_time_estimator.hpp
+++ b/src/state/run_time_estimator.hpp
@@ -5,10 +5,13 @@
 #include <map>
 #include <string>
 
-#include "state/model.hpp"
+#include "state/job.hpp"
 
 namespace dunebridge::state {
 
+/// Users' estimates of run times are often too low by half.
+inline constexpr double kRunTimeUncertainty = 1.5;
+
 class RunTimeEstimator {
   public:
     double expected_s(const state::Job& job) const;
--- a/src/state/task_ranges.hpp
+++ b/src/state/task_ranges.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "state/model.hpp"
+#include "state/job.hpp"
 
 namespace dunebridge::state {
 
@@ -46,7 +46,7 @@
     if (!tasks) return;
     const auto end = tasks.range->from + tasks.range->size;
     for (auto index = tasks.range->from; index < end; ++index) {
-        if (auto* placement = tasks.job->tasks[index].at) visit(*placement);
+        if (auto* placement = tasks.job->tasks[index].placement) visit(*placement);
     }
 }
 
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 wire::JobPhase terminal_phase(const Job& job) {
-    return job.cancelled_by_dependency ? wire::JobPhase::cancelled : wire::JobPhase::done;
+    return job.dependencies.cancelled ? wire::JobPhase::cancelled : wire::JobPhase::done;
 }
 
 std::size_t TransactionBuilder::Record::bytes_in_transaction() const {
@@ -60,8 +60,8 @@
         return encode_format_mark(state_.format());
     }
     if (key.starts_with(kScaleOutPrefix)) {
-        const auto it = state_.rentals().find(without_prefix(key, kScaleOutPrefix));
-        if (it == state_.rentals().end()) return std::nullopt;
+        const auto it = state_.scale_outs().find(without_prefix(key, kScaleOutPrefix));
+        if (it == state_.scale_outs().end()) return std::nullopt;
         return encode_scale_out(it->second);
     }
     if (key.starts_with(kTerminalPrefix)) {
@@ -158,13 +158,13 @@
 bool TransactionBuilder::collect_new_placements(const Record& record) {
     const auto before = new_placements_.size();
     for_each_placement(record.tasks, [this](Placement& placement) {
-        if (!placement.committed) new_placements_.push_back(&placement);
+        if (!placement.is_committed()) new_placements_.push_back(&placement);
     });
     return new_placements_.size() > before;
 }
 
 StateTransaction TransactionBuilder::take() {
-    for (auto* placement : new_placements_) placement->in_commit = true;
+    for (auto* placement : new_placements_) placement->commit = CommitState::in_transaction;
     return std::move(transaction_);
 }
 
@@ -227,14 +227,14 @@
 bool TransactionBuilder::undo_half_of_new_placements(const JobTaskRange& tasks) {
     std::vector<Placement*> undoable;
     for_each_placement(tasks, [&undoable](Placement& placement) {
-        if (!placement.committed && !placement.in_commit) undoable.push_back(&placement);
+        if (placement.commit == CommitState::uncommitted) undoable.push_back(&placement);
     });
     if (undoable.empty()) return false;
     undoable.resize((undoable.size() + 1) / 2);
     for (auto* placement : undoable) {
         state_.remove(*placement->machine, {tasks.job->sequence, placement->index});
     }
-    tasks.job->backoff_until = context_.now() + kBackoffAfterUndo;
+    tasks.job->backoff.until = context_.now() + kBackoffAfterUndo;
     return true;
 }
 
--- a/src/state/transaction_builder.hpp
+++ b/src/state/transaction_builder.hpp
@@ -18,9 +18,11 @@
 #include "kv/records.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
-#include "state/model.hpp"
+#include "state/job.hpp"
 #include "state/pending_splits.hpp"
+#include "state/placement.hpp"
 #include "state/task_ranges.hpp"
+#include "state/version.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::state {
--- a/src/state/worker_liveness.cpp
+++ b/src/state/worker_liveness.cpp
@@ -11,8 +11,8 @@
 
 bool WorkerLiveness::is_schedulable(const Machine& machine) const {
     const auto& worker = machine.worker;
-    const bool releasing = machine.cordoned || machine.instance.deleting ||
-                           machine.instance.failed || machine.preemption_at.has_value();
+    const bool releasing = machine.worker.cordoned || machine.instance.deleting ||
+                           machine.instance.failed || machine.worker.preemption_at.has_value();
     const bool in_touch = worker.heartbeat_received && has_shown_this_term(machine) &&
                           !is_late(machine) && !is_unresponsive(machine);
     // Direct commands do not renew the lease: without heartbeats it expires.
--- a/src/state/worker_liveness.hpp
+++ b/src/state/worker_liveness.hpp
@@ -8,7 +8,7 @@
 #include "config/config.hpp"
 #include "coordination/election.hpp"
 #include "sansio/context.hpp"
-#include "state/model.hpp"
+#include "state/machine.hpp"
 
 namespace dunebridge::state {
 
--- a/src/workers/command_builder.cpp
+++ b/src/workers/command_builder.cpp
@@ -23,14 +23,15 @@
 void append_stop_command(const Placement& placement, std::vector<TaskCommand>& commands) {
     const auto& job = *placement.job;
     const bool still_wanted = job.state == JobState::active && !job.tasks[placement.index].done;
-    const double grace_s = still_wanted ? placement.grace_s : 0;
+    const double grace_s = still_wanted ? placement.stop.grace.count() : 0;
     // It does what it was told already.
-    if (placement.phase == wire::TaskPhase::saving && grace_s != 0) return;
+    if (placement.observed.phase == wire::TaskPhase::saving && grace_s != 0) return;
     commands.push_back({CommandKind::stop, placement.ref(), placement.attempt, grace_s});
 }
 
 bool is_to_be_started(const Machine& machine, const Placement& placement) {
-    const bool was_sent = placement.seen || placement.sent == StartDelivery::awaiting_confirmation;
+    const bool was_sent =
+        placement.observed.seen || placement.start.delivery == StartDelivery::awaiting_confirmation;
     return !was_sent && !state::is_unresponsive(machine);
 }
 
@@ -44,14 +45,14 @@
 }
 
 void mark_start_sent(const Machine& machine, Placement& placement, ExchangeKind exchange) {
-    auto& start = placement;
+    auto& start = placement.start;
     if (exchange == ExchangeKind::direct_command) {
-        start.sent = StartDelivery::in_direct_command;
+        start.delivery = StartDelivery::in_direct_command;
     } else {
-        start.sent = StartDelivery::in_heartbeat_reply;
+        start.delivery = StartDelivery::in_heartbeat_reply;
         start.in_heartbeat_reply = true;
     }
-    start.agent_epoch = std::max(start.agent_epoch, machine.worker.last.agent_epoch);
+    start.agent_epoch = std::max(start.agent_epoch, machine.worker.last_applied.agent_epoch);
 }
 
 bool only_clears(const std::vector<TaskCommand>& commands) {
@@ -87,10 +88,10 @@
     for (const auto& task : machine.worker.unrecorded_tasks) {
         commands.push_back({CommandKind::stop, task.task, task.attempt, 0});
     }
-    for (auto& [key, placement] : machine.tasks) {
+    for (auto& [key, placement] : machine.placements) {
         if (commands.size() >= kMaxCommands) break;
-        if (!placement.committed) continue;
-        if (placement.sent == StartDelivery::in_direct_command) continue;
+        if (!placement.is_committed()) continue;
+        if (placement.start.delivery == StartDelivery::in_direct_command) continue;
         if (must_stop(placement)) {
             append_stop_command(placement, commands);
         } else if (is_to_be_started(machine, placement)) {
@@ -106,7 +107,7 @@
     if (raise_fence) ++machine.worker.fence_counter;
     if (direct) {
         const auto fenced_from = machine.worker.fence_counter + 1;
-        for (auto* placement : started) placement->fenced_from = fenced_from;
+        for (auto* placement : started) placement->start.fenced_from = fenced_from;
     }
     return commands;
 }
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -18,11 +18,11 @@
 
 // How the task's start stands once the direct command that carried it has ended.
 StartDelivery delivery_after(const Placement& placement, const CommandResult& result) {
-    if (!result.unexecuted || placement.seen) return StartDelivery::awaiting_confirmation;
+    if (!result.unexecuted || placement.observed.seen) return StartDelivery::awaiting_confirmation;
     // An unexecuted command changes nothing: the start may have gone in the reply to a heartbeat as
     // well, and be on the worker already.
-    return placement.in_heartbeat_reply ? StartDelivery::in_heartbeat_reply
-                                        : StartDelivery::not_sent;
+    return placement.start.in_heartbeat_reply ? StartDelivery::in_heartbeat_reply
+                                              : StartDelivery::not_sent;
 }
 
 }  // namespace
@@ -91,9 +91,9 @@
     if (!machine) return;
     auto& worker = machine->worker;
     worker.command_in_flight = false;
-    for (auto& [key, placement] : machine->tasks) {
-        if (placement.sent == StartDelivery::in_direct_command)
-            placement.sent = delivery_after(placement, result);
+    for (auto& [key, placement] : machine->placements) {
+        if (placement.start.delivery == StartDelivery::in_direct_command)
+            placement.start.delivery = delivery_after(placement, result);
     }
     state_.request_commands(*machine);
     if (result.heartbeat) {
--- a/src/workers/command_dispatcher.hpp
+++ b/src/workers/command_dispatcher.hpp
@@ -9,7 +9,7 @@
 #include "coordination/election.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
-#include "state/model.hpp"
+#include "state/machine.hpp"
 #include "wire/worker_messages.hpp"
 #include "workers/command_builder.hpp"
 #include "workers/heartbeat_processor.hpp"
--- a/src/workers/failure_attribution.cpp
+++ b/src/workers/failure_attribution.cpp
@@ -34,10 +34,10 @@
 void FailureAttribution::clear_evidence_against_job(Job& job) {
     if (job.failures.faulty) {
         context_.log(LogLevel::info, "event=job_recovered id={}", job.spec.id.get());
-        job.backoff_until = context_.now();
+        job.backoff.until = context_.now();
     }
     job.failures = {};
-    job.pause = Millis(0);
+    job.backoff.length = Millis(0);
 }
 
 void FailureAttribution::record_failure(Job& job, Machine& machine) {
@@ -47,16 +47,17 @@
     ++machine.worker.failures[job.spec.id];
     if (failed_everywhere(job)) {
         mark_job_faulty(job);
-    } else if (!machine.cordoned && evidence_against(machine) >= kEvidenceToCordon) {
+    } else if (!machine.worker.cordoned && evidence_against(machine) >= kEvidenceToCordon) {
         cordon(machine);
     }
 }
 
 // Failures that come while the job pauses are of tasks started before: they do not count again.
 void FailureAttribution::start_backoff(Job& job) {
-    if (context_.now() < job.backoff_until) return;
-    job.pause = std::clamp(job.pause * 2, kMinBackoff, kMaxBackoff);
-    job.backoff_until = context_.now() + job.pause + context_.jitter(job.pause / kJitterDivisor);
+    if (context_.now() < job.backoff.until) return;
+    job.backoff.length = std::clamp(job.backoff.length * 2, kMinBackoff, kMaxBackoff);
+    job.backoff.until =
+        context_.now() + job.backoff.length + context_.jitter(job.backoff.length / kJitterDivisor);
 }
 
 std::uint32_t FailureAttribution::evidence_against(const Machine& machine) const {
@@ -74,7 +75,7 @@
     const auto& machines = job.failures.machines;
     const auto undoubted = std::count_if(machines.begin(), machines.end(), [&](const auto& host) {
         const auto* machine = state_.find_machine(host);
-        if (!machine || machine->cordoned) return false;
+        if (!machine || machine->worker.cordoned) return false;
         const auto& failures = machine->worker.failures;
         return failures.empty() || (failures.size() == 1 && failures.contains(job.spec.id));
     });
@@ -93,7 +94,7 @@
 }
 
 void FailureAttribution::cordon(Machine& machine) {
-    machine.cordoned = true;
+    machine.worker.cordoned = true;
     context_.log(LogLevel::info, "event=machine_faulty host={}", machine.host.get());
     for (const auto& [id, failures] : machine.worker.failures) {
         if (auto* job = state_.find_job(id)) job->failures.machines.erase(machine.host);
@@ -101,8 +102,8 @@
 }
 
 void FailureAttribution::uncordon_if_cleared(Machine& machine) {
-    if (!machine.cordoned || evidence_against(machine) >= kEvidenceToCordon) return;
-    machine.cordoned = false;
+    if (!machine.worker.cordoned || evidence_against(machine) >= kEvidenceToCordon) return;
+    machine.worker.cordoned = false;
     context_.log(LogLevel::info, "event=machine_cleared host={}", machine.host.get());
 }
 
--- a/src/workers/failure_attribution.hpp
+++ b/src/workers/failure_attribution.hpp
@@ -12,7 +12,8 @@
 
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
-#include "state/model.hpp"
+#include "state/job.hpp"
+#include "state/machine.hpp"
 
 namespace dunebridge::workers {
 
--- a/src/workers/heartbeat_processor.cpp
+++ b/src/workers/heartbeat_processor.cpp
@@ -30,7 +30,7 @@
         return false;
     }
     // A heartbeat that was held up on its way is older than one that has been applied.
-    if (worker.heartbeat_received && heartbeat.order <= worker.last) return true;
+    if (worker.heartbeat_received && heartbeat.order <= worker.last_applied) return true;
     leases_.observe(machine, heartbeat);
     update_worker(machine, heartbeat);
     if (heartbeat.eviction_s) {
@@ -50,16 +50,16 @@
         machine.idle_since = context_.now();
     }
     worker.heartbeat_received = true;
-    worker.last = heartbeat.order;
+    worker.last_applied = heartbeat.order;
     worker.acknowledged_token = heartbeat.token;
     worker.last_heartbeat_at = context_.now();
-    machine.endpoint = heartbeat.endpoint;
+    machine.worker.endpoint = heartbeat.endpoint;
     machine.instance.starting = false;
     state_.describe(machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot);
 }
 
 void HeartbeatProcessor::apply_preemption_notice(Machine& machine, Millis until_preemption) {
-    auto& preemption_at = machine.preemption_at;
+    auto& preemption_at = machine.worker.preemption_at;
     const auto at = context_.now() + until_preemption;
     if (!preemption_at) {
         context_.log(LogLevel::info, "event=preemption_notice host={} in_s={:.1f}",
--- a/src/workers/placement_conditions.hpp
+++ b/src/workers/placement_conditions.hpp
@@ -5,7 +5,9 @@
 #include <vector>
 
 #include "state/cluster_state.hpp"
-#include "state/model.hpp"
+#include "state/job.hpp"
+#include "state/machine.hpp"
+#include "state/placement.hpp"
 
 namespace dunebridge::workers {
 
@@ -13,15 +15,15 @@
 /// its job is over.
 inline bool must_stop(const state::Placement& placement) {
     const auto& job = *placement.job;
-    return placement.stopping || job.state == state::JobState::terminal ||
+    return placement.stop.requested || job.state == state::JobState::terminal ||
            job.tasks[placement.index].done;
 }
 
 /// Returns true if the placement is on record, but its task certainly is not on the worker: no
 /// command that starts it has left this leader, and the worker has not shown it.
 inline bool is_never_sent(const state::Placement& placement) {
-    return placement.committed && placement.sent == state::StartDelivery::not_sent &&
-           !placement.seen;
+    return placement.is_committed() && placement.start.delivery == state::StartDelivery::not_sent &&
+           !placement.observed.seen;
 }
 
 /// Removes the machine's placements that meet the condition. The caller must have proof that their
@@ -30,7 +32,7 @@
 void remove_placements_if(state::ClusterState& cluster_state, state::Machine& machine,
                           Condition condition) {
     std::vector<state::PlacementKey> keys;
-    for (const auto& [key, placement] : machine.tasks) {
+    for (const auto& [key, placement] : machine.placements) {
         if (condition(placement)) keys.push_back(key);
     }
     for (const auto& key : keys) cluster_state.remove(machine, key);
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -38,21 +38,21 @@
     const bool is_heartbeat = exchange == ExchangeKind::heartbeat;
     bool reply_lost = false;
     std::vector<PlacementKey> gone;
-    for (auto& [key, placement] : machine.tasks) {
-        if (!placement.committed) continue;
+    for (auto& [key, placement] : machine.placements) {
+        if (!placement.is_committed()) continue;
         // The worker has read the reply to its previous heartbeat, or never will.
-        if (is_heartbeat) placement.in_heartbeat_reply = false;
+        if (is_heartbeat) placement.start.in_heartbeat_reply = false;
         switch (assess(machine, placement, heartbeat, exchange)) {
             case Finding::unknown:
                 break;
             case Finding::present:
-                placement.sent = StartDelivery::awaiting_confirmation;
+                placement.start.delivery = StartDelivery::awaiting_confirmation;
                 break;
             case Finding::gone:
                 gone.push_back(key);
                 break;
             case Finding::start_lost:
-                placement.sent = StartDelivery::not_sent;
+                placement.start.delivery = StartDelivery::not_sent;
                 reply_lost = reply_lost || (is_heartbeat && !machine.worker.command_in_flight);
                 state_.request_commands(machine);
                 break;
@@ -67,14 +67,14 @@
                                        const WorkerHeartbeat& heartbeat,
                                        ExchangeKind exchange) const {
     if (was_forgotten(placement, heartbeat)) return Finding::gone;
-    const auto delivery = placement.sent;
+    const auto delivery = placement.start.delivery;
     if (delivery == StartDelivery::not_sent || delivery == StartDelivery::in_direct_command)
         return Finding::unknown;
     const bool in_reply = delivery == StartDelivery::in_heartbeat_reply;
     // A worker reads the reply to a heartbeat before it makes the next heartbeat, or never:
     // whatever token that one shows, a start that it lacks was lost.
     const bool start_was_in_previous_reply =
-        in_reply && exchange == ExchangeKind::heartbeat && !placement.seen;
+        in_reply && exchange == ExchangeKind::heartbeat && !placement.observed.seen;
     const bool shows_token =
         heartbeat.token == make_token(election_.term(), machine.worker.fence_counter);
     if (!shows_token && !start_was_in_previous_reply) return Finding::unknown;
@@ -83,14 +83,15 @@
     if (in_reply && exchange == ExchangeKind::direct_command) return Finding::unknown;
     // What an earlier leader has placed is placed anew rather than started: it may have given the
     // capacity and the quota to others before its end, and had no time to record that.
-    const bool not_to_start = placement.seen || must_stop(placement) || !is_of_this_term(placement);
+    const bool not_to_start =
+        placement.observed.seen || must_stop(placement) || !is_of_this_term(placement);
     return shows_token && not_to_start ? Finding::gone : Finding::start_lost;
 }
 
 // Whether the worker has forgotten the task with an earlier agent epoch. What an earlier leader may
 // have sent to this epoch counts until it is fenced off.
 bool Reconciler::was_forgotten(const Placement& placement, const WorkerHeartbeat& heartbeat) const {
-    const auto epoch = placement.agent_epoch;
+    const auto epoch = placement.start.agent_epoch;
     if (epoch == 0 || heartbeat.order.agent_epoch <= epoch) return false;
     const bool shows_term = term_of(heartbeat.token) == election_.term();
     return (is_of_this_term(placement) || shows_term) &&
--- a/src/workers/reconciler.hpp
+++ b/src/workers/reconciler.hpp
@@ -6,7 +6,8 @@
 
 #include "coordination/election.hpp"
 #include "state/cluster_state.hpp"
-#include "state/model.hpp"
+#include "state/machine.hpp"
+#include "state/placement.hpp"
 #include "wire/worker_messages.hpp"
 #include "workers/exchange_kind.hpp"
 
--- a/src/workers/task_status_processor.cpp
+++ b/src/workers/task_status_processor.cpp
@@ -39,9 +39,9 @@
     machine.worker.unrecorded_tasks.clear();
     for (const auto& task : heartbeat.tasks) {
         const Job* job = state_.find_job(task.task.job);
-        const auto it =
-            job ? machine.tasks.find({job->sequence, task.task.index}) : machine.tasks.end();
-        const bool recorded = it != machine.tasks.end() && it->second.attempt == task.attempt;
+        const auto it = job ? machine.placements.find({job->sequence, task.task.index})
+                            : machine.placements.end();
+        const bool recorded = it != machine.placements.end() && it->second.attempt == task.attempt;
         auto* placement = recorded ? &it->second : nullptr;
         if (task.phase == TaskPhase::exited) {
             apply_exited(machine, task, placement, listed_before);
@@ -58,18 +58,19 @@
         state_.request_commands(machine);
         return;
     }
-    placement->seen = true;
-    placement->phase = task.phase;
-    placement->agent_epoch = std::max(placement->agent_epoch, heartbeat.order.agent_epoch);
+    placement->observed.seen = true;
+    placement->observed.phase = task.phase;
+    placement->start.agent_epoch =
+        std::max(placement->start.agent_epoch, heartbeat.order.agent_epoch);
     if (task.phase != TaskPhase::running) return;
     state_.set_running(*placement, true);
-    machine.images.insert(placement->job->spec.image);
+    machine.worker.images.insert(placement->job->spec.image);
 }
 
 // The fence counter from which on no repeat of a command can start the exited attempt again.
 std::uint64_t TaskStatusProcessor::fence_of_exited(const Machine& machine, const TaskStatus& task,
                                                    const Placement* placement) const {
-    if (placement) return placement->fenced_from;
+    if (placement) return placement->start.fenced_from;
     // This leader has placed it, and no longer knows in which command it was sent.
     if (term_of(task.attempt) == election_.term()) return machine.worker.fence_counter + 1;
     return 0;
@@ -122,7 +123,7 @@
             failure_attribution_.start_backoff(job);
             break;
         default:
-            if (placement.preempted) state_.mark_preemption_protected(job, index);
+            if (placement.stop.preempted) state_.mark_preemption_protected(job, index);
     }
     state_.remove(machine, {job.sequence, index});
 }
--- a/src/workers/task_status_processor.hpp
+++ b/src/workers/task_status_processor.hpp
@@ -8,7 +8,9 @@
 #include "coordination/election.hpp"
 #include "sansio/context.hpp"
 #include "state/cluster_state.hpp"
-#include "state/model.hpp"
+#include "state/job.hpp"
+#include "state/machine.hpp"
+#include "state/placement.hpp"
 #include "wire/worker_messages.hpp"
 #include "workers/failure_attribution.hpp"
 
--- a/src/workers/worker_client.cpp
+++ b/src/workers/worker_client.cpp
@@ -11,8 +11,8 @@
 void WorkerClient::send(const state::Machine& machine, FencingToken token,
                         const std::vector<wire::TaskCommand>& commands,
                         std::function<void(const CommandResult&)> then) {
-    auto body = wire::encode_commands(token, machine.worker.last.agent_epoch, commands);
-    context_.call(sansio::Destination::worker, machine.endpoint, "POST", "/commands",
+    auto body = wire::encode_commands(token, machine.worker.last_applied.agent_epoch, commands);
+    context_.call(sansio::Destination::worker, machine.worker.endpoint, "POST", "/commands",
                   std::move(body), kTimeout,
                   [this, host = machine.host, then = std::move(then)](
                       const sansio::HttpResult& reply) { then(read(host, reply)); });
--- a/src/workers/worker_client.hpp
+++ b/src/workers/worker_client.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "sansio/context.hpp"
-#include "state/model.hpp"
+#include "state/machine.hpp"
 #include "wire/messages.hpp"
 
 namespace dunebridge::workers {
--- a/src/workers/worker_leases.cpp
+++ b/src/workers/worker_leases.cpp
@@ -20,7 +20,7 @@
     const auto& worker = machine.worker;
     // A new agent epoch has a lease of its own, which began with it: not later than now.
     const bool new_epoch =
-        worker.heartbeat_received && heartbeat.order.agent_epoch > worker.last.agent_epoch;
+        worker.heartbeat_received && heartbeat.order.agent_epoch > worker.last_applied.agent_epoch;
     // Until the worker has shown this term, an earlier leader could renew its lease.
     const bool first_of_term =
         term_of(heartbeat.token) == election_.term() && !liveness_.has_shown_this_term(machine);
@@ -37,11 +37,11 @@
 }
 
 void WorkerLeases::expire(Machine& machine) {
-    if (machine.tasks.empty() || !has_expired(machine)) return;
+    if (machine.placements.empty() || !has_expired(machine)) return;
     context_.log(sansio::LogLevel::info, "event=lease_expired host={} tasks={}", machine.host.get(),
-                 machine.tasks.size());
+                 machine.placements.size());
     remove_placements_if(state_, machine,
-                         [](const auto& placement) { return placement.committed; });
+                         [](const auto& placement) { return placement.is_committed(); });
 }
 
 }  // namespace dunebridge::workers
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -62,7 +62,7 @@
     leases_.renew(*machine);
     std::vector<wire::TaskCommand> commands;
     // The worker has given up a heartbeat that newer ones overtook: it will not read the reply.
-    if (worker.last == heartbeat.order) {
+    if (worker.last_applied == heartbeat.order) {
         commands = command_dispatcher_.commands_for_reply(*machine);
     }
     context_.respond(id, 200, wire::encode_heartbeat_reply(token_of(*machine), commands));
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -20,8 +20,8 @@
         const auto spec = dependent_job(n, std::move(dependencies));
         auto& added = jobs_[spec.id];
         added.spec = spec;
-        added.priority = priority;
-        added.latest_end = latest_end;
+        added.dependencies.effective_priority = priority;
+        added.dependencies.latest_end = latest_end;
         added.tasks.resize(1);
         graph_.add(added);
         return added;
@@ -48,15 +48,15 @@
     auto& other = add(9, wire::Priority::idle);
     const auto& last = add(4, wire::Priority::urgent, {left.spec.id, right.spec.id}, due);
     const auto before = [](const state::Job& job) {
-        return job.latest_end - from_seconds(job.spec.expected_s * 1.5) - Millis(2000);
+        return job.dependencies.latest_end - from_seconds(job.spec.expected_s * 1.5) - Millis(2000);
     };
-    EXPECT_EQ(left.priority, wire::Priority::urgent);
-    EXPECT_EQ(left.latest_end, before(last));
-    EXPECT_EQ(right.priority, wire::Priority::prod);
-    EXPECT_EQ(first.priority, wire::Priority::prod);
-    EXPECT_EQ(first.latest_end, before(left));
-    EXPECT_EQ(other.priority, wire::Priority::idle);
-    EXPECT_EQ(other.latest_end, Instant::max());
+    EXPECT_EQ(left.dependencies.effective_priority, wire::Priority::urgent);
+    EXPECT_EQ(left.dependencies.latest_end, before(last));
+    EXPECT_EQ(right.dependencies.effective_priority, wire::Priority::prod);
+    EXPECT_EQ(first.dependencies.effective_priority, wire::Priority::prod);
+    EXPECT_EQ(first.dependencies.latest_end, before(left));
+    EXPECT_EQ(other.dependencies.effective_priority, wire::Priority::idle);
+    EXPECT_EQ(other.dependencies.latest_end, Instant::max());
 }
 
 // Deadlines count from the submission; all else from when the last dependency was done.
@@ -71,8 +71,8 @@
     context_.advance_clock(Instant{} + Millis(9000), 0);
     graph_.ended(first.spec.id, wire::JobPhase::done);
     EXPECT_FALSE(last.is_blocked());
-    EXPECT_EQ(last.runnable_since, Instant{} + Millis(9000));
-    EXPECT_EQ(last.latest_end, due);
+    EXPECT_EQ(last.dependencies.runnable_since, Instant{} + Millis(9000));
+    EXPECT_EQ(last.dependencies.latest_end, due);
     EXPECT_TRUE(cancelled_.empty());
 }
 
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -29,7 +29,7 @@
     EXPECT_TRUE(job.failures.faulty);
     EXPECT_EQ(job.placeable_tasks(), 2u);
     for (const auto& [host, machine] : fixture.cluster_state.machines()) {
-        EXPECT_FALSE(machine.cordoned);
+        EXPECT_FALSE(machine.worker.cordoned);
         EXPECT_TRUE(machine.worker.failures.empty());
     }
 }
@@ -51,16 +51,16 @@
     attribution.record_success(job, fixture.add_machine(1));
     EXPECT_FALSE(job.failures.faulty);
     EXPECT_EQ(job.placeable_tasks(), 50u);
-    EXPECT_LE(job.backoff_until, fixture.now);
+    EXPECT_LE(job.backoff.until, fixture.now);
 }
 
 TEST_F(FailureAttributionTest, AMachineOnWhichSeveralJobsFailIsAtFault) {
     auto& machine = fixture.add_machine(1);
     for (int n = 1; n <= 3; ++n) {
-        EXPECT_FALSE(machine.cordoned);
+        EXPECT_FALSE(machine.worker.cordoned);
         attribution.record_failure(fixture.add_job(n), machine);
     }
-    EXPECT_TRUE(machine.cordoned);
+    EXPECT_TRUE(machine.worker.cordoned);
 }
 
 // One job alone shows a faulty machine, if the job succeeds on others.
@@ -69,9 +69,9 @@
     auto& machine = fixture.add_machine(1);
     fixture.cluster_state.mark_done(job, 0);
     attribution.record_failure(job, machine);
-    EXPECT_FALSE(machine.cordoned);
+    EXPECT_FALSE(machine.worker.cordoned);
     attribution.record_failure(job, machine);
-    EXPECT_TRUE(machine.cordoned);
+    EXPECT_TRUE(machine.worker.cordoned);
     EXPECT_FALSE(job.failures.faulty);
 }
 
@@ -87,7 +87,7 @@
     EXPECT_TRUE(first.failures.faulty);
     EXPECT_TRUE(second.failures.faulty);
     for (const auto& [host, machine] : fixture.cluster_state.machines())
-        EXPECT_FALSE(machine.cordoned);
+        EXPECT_FALSE(machine.worker.cordoned);
 }
 
 TEST_F(FailureAttributionTest, AFaultyMachineIsFoundWhileFaultyJobsAreAbout) {
@@ -100,9 +100,9 @@
     fixture.cluster_state.mark_done(healthy, 0);
     attribution.record_failure(healthy, machine);
     attribution.record_failure(faulty_job, machine);  // says nothing about the machine any more
-    EXPECT_FALSE(machine.cordoned);
+    EXPECT_FALSE(machine.worker.cordoned);
     attribution.record_failure(healthy, machine);
-    EXPECT_TRUE(machine.cordoned);
+    EXPECT_TRUE(machine.worker.cordoned);
 }
 
 // Three machines that fail everything do not make a job that runs there look faulty.
@@ -122,10 +122,10 @@
     attribution.record_failure(job, machine);
     attribution.record_failure(fixture.add_job(2), machine);
     attribution.record_failure(fixture.add_job(3), machine);
-    ASSERT_TRUE(machine.cordoned);
+    ASSERT_TRUE(machine.worker.cordoned);
     fail_on_new_machines(job, 3);
     ASSERT_TRUE(job.failures.faulty);
-    EXPECT_FALSE(machine.cordoned);
+    EXPECT_FALSE(machine.worker.cordoned);
 }
 
 TEST_F(FailureAttributionTest, SuccessClearsTheMachine) {
@@ -134,20 +134,20 @@
     attribution.record_failure(fixture.add_job(2), machine);
     attribution.record_success(fixture.add_job(3), machine);
     attribution.record_failure(fixture.add_job(4), machine);
-    EXPECT_FALSE(machine.cordoned);
+    EXPECT_FALSE(machine.worker.cordoned);
 }
 
 // The tasks that fail together count once, and the job is still tried within 90 s.
 TEST_F(FailureAttributionTest, PausesGrowToALimitAndOneWaveOfFailuresCountsOnce) {
     auto& job = fixture.add_job(1, 50);
     for (int n = 0; n < 20; ++n) attribution.start_backoff(job);
-    EXPECT_LT(job.backoff_until - fixture.now, Millis(1300));
+    EXPECT_LT(job.backoff.until - fixture.now, Millis(1300));
     Millis longest{0};
     for (int n = 0; n < 12; ++n) {
-        fixture.advance(std::max(job.backoff_until - fixture.now, Millis(0)));
+        fixture.advance(std::max(job.backoff.until - fixture.now, Millis(0)));
         attribution.start_backoff(job);
-        EXPECT_GT(job.backoff_until, fixture.now);
-        longest = std::max(longest, job.backoff_until - fixture.now);
+        EXPECT_GT(job.backoff.until, fixture.now);
+        longest = std::max(longest, job.backoff.until - fixture.now);
     }
     EXPECT_GE(longest, Millis(30000));
     EXPECT_LE(longest, Millis(37500));
