--- a/src/api/job_request.hpp
+++ b/src/api/job_request.hpp
@@ -15,6 +15,7 @@
 
 namespace dunebridge::api {
 
+/// What a user asks for.
 enum class RequestKind : std::uint8_t {
     poll,
     submission,
--- a/src/api/job_responder.hpp
+++ b/src/api/job_responder.hpp
@@ -20,6 +20,7 @@
 /// Hands a committed cancellation to those who must know of it before its user is responded to.
 using PublishCancellation = std::function<void(const JobId&, OnPublished)>;
 
+/// Writes the responses that users get about jobs.
 class JobResponder {
   public:
     JobResponder(sansio::Context& context, JobCache& cache, GetProgress get_progress,
--- a/src/api/submission_records.hpp
+++ b/src/api/submission_records.hpp
@@ -21,6 +21,7 @@
                                                      const config::Config& config,
                                                      const std::vector<wire::MachineType>& types);
 
+/// Whether a submission can be written, and if not, why.
 enum class Preparation : std::uint8_t {
     ready,
     too_large,           ///< The job's description is larger than a record may be.
@@ -28,6 +29,7 @@
     format_not_in_force  ///< It needs a record format that is not in force yet.
 };
 
+/// Builds the records that a submission writes. Pure: reads the configuration only.
 class SubmissionRecords {
   public:
     explicit SubmissionRecords(const config::Config& config) : config_(config) {}
--- a/src/app/runtime.hpp
+++ b/src/app/runtime.hpp
@@ -17,7 +17,8 @@
 /// The level of the logging library that stands for ours.
 spdlog::level::level_enum to_spdlog(sansio::LogLevel level);
 
-/// Carries requests and results of calls to the controller, and its effects to the network and the log.
+/// Carries requests and results of calls to the controller, and its effects to the network and the
+/// log.
 ///
 /// Single-threaded: commands that arrive in one turn of the loop are applied as one batch. After a
 /// stall of the process nothing that was decided before it is carried out, since another controller
--- a/src/base/resources.hpp
+++ b/src/base/resources.hpp
@@ -1,8 +1,10 @@
-// What a task takes of its machine, and what a machine has to give.
+/// \file
+/// What a task takes of its machine, and what a machine has to give.
 #pragma once
 
 namespace dunebridge {
 
+/// Amounts of what a task uses and a machine has.
 struct Resources {
     double cores = 0;
     double accelerators = 0;
--- a/src/base/token_bucket.hpp
+++ b/src/base/token_bucket.hpp
@@ -1,4 +1,5 @@
-// Limits a rate: tokens that refill with time. The burst is one second's worth.
+/// \file
+/// Limits a rate: tokens that refill with time. The burst is one second's worth.
 #pragma once
 
 #include <algorithm>
@@ -7,11 +8,13 @@
 
 namespace dunebridge {
 
+/// Limits a rate. The burst is one second of the rate; a larger amount passes on a full bucket and
+/// is paid off afterwards.
 class TokenBucket {
   public:
     explicit TokenBucket(double per_second) : rate_(per_second), tokens_(per_second) {}
 
-    // Takes them all, or none.
+    /// Takes them all, or none.
     bool take(double tokens, Instant now) {
         refill(now);
         // More than the whole burst is let through on a full bucket and paid off after.
@@ -23,7 +26,7 @@
         refill(now);
         return tokens_;
     }
-    // When so many will be there.
+    /// When so many will be there.
     Instant ready_at(double tokens, Instant now) const {
         const double missing = std::min(tokens, rate_) - tokens_;
         if (missing <= 0) return now;
--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -1,4 +1,5 @@
-// Small types for ids, versions and times, so that one cannot be taken for another.
+/// \file
+/// Small types for ids, versions and times, so that one cannot be taken for another.
 #pragma once
 
 #include <chrono>
@@ -10,6 +11,7 @@
 
 namespace dunebridge {
 
+/// A value with a type of its own, so that ids, versions and times cannot be confused.
 template <class Tag, class T>
 class Strong {
   public:
@@ -38,7 +40,7 @@
 /// Estimates and other spans that are computed with, in seconds and fractions of them.
 using Seconds = std::chrono::duration<double>;
 
-// The steady clock as the core sees it; only the I/O layer (or a test) advances it.
+/// The steady clock as the core sees it; only the I/O layer (or a test) advances it.
 struct SteadyTime {
     using duration = Millis;
     using rep = duration::rep;
@@ -51,14 +53,14 @@
 inline Millis from_seconds(double s) { return Millis(static_cast<std::int64_t>(s * 1000.0)); }
 inline double to_seconds(Millis d) { return static_cast<double>(d.count()) / 1000.0; }
 
-// The order of a worker's messages: the larger (session, sequence) is the newer one.
+/// The order of a worker's messages: the larger (session, sequence) is the newer one.
 struct HeartbeatSequence {
     std::uint64_t agent_epoch = 0;
     std::uint64_t sequence = 0;
     auto operator<=>(const HeartbeatSequence&) const = default;
 };
 
-// One task of a job: "req-000412/3".
+/// One task of a job: "req-000412/3".
 struct TaskRef {
     JobId job;
     std::uint32_t index = 0;
@@ -68,6 +70,7 @@
 
 }  // namespace dunebridge
 
+/// Hashes as the value does.
 template <class Tag, class T>
 struct std::hash<dunebridge::Strong<Tag, T>> {
     std::size_t operator()(const dunebridge::Strong<Tag, T>& v) const {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -19,6 +19,7 @@
 
 namespace dunebridge::config {
 
+/// Everything a controller is configured with. Immutable after start.
 struct Config {
     /// \name This controller and the others. Addresses are "host:port".
     /// @{
--- a/src/config/peer_address.hpp
+++ b/src/config/peer_address.hpp
@@ -8,6 +8,7 @@
 
 namespace dunebridge::config {
 
+/// Another controller: its name, its zone and its address for peers.
 struct PeerAddress {
     ControllerName name;
     std::string zone;
--- a/src/controller/leadership_guard.hpp
+++ b/src/controller/leadership_guard.hpp
@@ -12,6 +12,8 @@
 
 namespace dunebridge::controller {
 
+/// Decides when a leader must give up the leadership, or stop renewing leases, although the key-
+/// value store has not shown that another controller leads.
 class LeadershipGuard {
   public:
     LeadershipGuard(sansio::Context& context, const config::Config& config,
--- a/src/controller/peer_heartbeat_builder.hpp
+++ b/src/controller/peer_heartbeat_builder.hpp
@@ -16,6 +16,7 @@
 
 namespace dunebridge::controller {
 
+/// Builds the heartbeat that this controller sends to its peers.
 class PeerHeartbeatBuilder {
   public:
     PeerHeartbeatBuilder(const config::Config& config, const kv::KvClient& kv_client,
--- a/src/coordination/cancellation_log.hpp
+++ b/src/coordination/cancellation_log.hpp
@@ -29,6 +29,8 @@
     std::uint64_t next() const { return first + jobs.size(); }
 };
 
+/// The cancellations that this controller knows to be committed, numbered in the order in which it
+/// learnt of them.
 class CancellationLog {
   public:
     /// Context and configuration must outlive the log.
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -33,6 +33,7 @@
     unknown_outcome    ///< The outcome of a transaction is not known; a new term settles it.
 };
 
+/// Takes part in the election of the leader and follows its outcome.
 class Election {
   public:
     /// Context, client and configuration must outlive the election.
--- a/src/coordination/peer_monitor.hpp
+++ b/src/coordination/peer_monitor.hpp
@@ -21,6 +21,7 @@
 
 namespace dunebridge::coordination {
 
+/// Exchanges heartbeats with all peers and keeps what they say.
 class PeerMonitor {
   public:
     /// Called whenever a heartbeat is to be sent; returns this controller's state.
--- a/src/coordination/peer_status.hpp
+++ b/src/coordination/peer_status.hpp
@@ -30,6 +30,7 @@
     Instant acknowledged_at_{};      ///< When the latest request that got a response was made.
 };
 
+/// What is known of one peer from its heartbeats.
 struct PeerStatus {
     bool known = false;  ///< Whether there has been a heartbeat.
     Instant heard_at{};
--- a/src/kv/connection.hpp
+++ b/src/kv/connection.hpp
@@ -9,6 +9,7 @@
 
 namespace dunebridge::kv {
 
+/// Sends requests to the key-value store and tracks whether it can be reached.
 class KvConnection {
   public:
     /// The context must outlive the connection.
--- a/src/sansio/log.hpp
+++ b/src/sansio/log.hpp
@@ -11,6 +11,7 @@
 
 namespace dunebridge::sansio {
 
+/// Severity of a log record, the most severe first.
 enum class LogLevel : std::uint8_t { error, info, debug };
 
 /// One line of the log, without time and node.
--- a/src/sansio/refusal.hpp
+++ b/src/sansio/refusal.hpp
@@ -11,6 +11,7 @@
 
 namespace dunebridge::sansio {
 
+/// Why a request is refused. Refusal maps it to text, status and Retry-After.
 enum class RefusalReason : std::uint8_t {
     // The request itself is wrong.
     body_too_large,
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -322,7 +322,7 @@
     running ? ++p.job->running : --p.job->running;
 }
 
-// ---- rentals ----
+// ---- scale-out requests ----
 
 void ClusterState::add_scale_out(const wire::ScaleOutRequest& request) {
     scale_outs_[request.idempotency_key].request = request;
@@ -350,7 +350,7 @@
     rental.answered = true;
     for (const auto& host : hosts) {
         auto* known = find_machine(host);
-        // It may have reported before the rental was answered.
+        // It may have reported before the scale-out request was answered.
         if (known) detach_from_scale_out(*known);
         auto& machine = known ? *known : create_machine(host);
         describe(machine, rental.request.machine_type, rental.request.zone, rental.request.spot);
--- a/src/state/cluster_state.hpp
+++ b/src/state/cluster_state.hpp
@@ -1,12 +1,14 @@
-// The ledger: which tasks are on which machines, what is done, and which rentals are under way.
-//
-// Only the leader has one. This is the model in memory, with its invariants: every change marks the
-// records that it concerns as dirty. ClusterStateLoader reads it from the state service when a term
-// begins, ClusterStateWriter writes what is dirty. A placement may be acted on only once it is
-// `committed`.
-//
-// Placements are recorded per job and range of its tasks, machines per rental, so that the number
-// of changes grows little with tasks and not with machines touched.
+/// \file
+/// The cluster state: which tasks are on which machines, what is done, and which scale-out requests
+/// are under way.
+///
+/// Only the leader has one. This is the model in memory, with its invariants: every change marks
+/// the records that it concerns as dirty. ClusterStateLoader reads it from the key-value store when
+/// a term begins, ClusterStateWriter writes what is dirty. A placement may be acted on only once it
+/// is `committed`.
+///
+/// Placements are recorded per job and range of its tasks, machines per scale-out request, so that
+/// the number of changes grows little with tasks and not with machines touched.
 #pragma once
 
 #include <cstdint>
@@ -35,6 +37,8 @@
 
 namespace dunebridge::state {
 
+/// The leader's cluster state in memory, with its invariants. Owned by the controller; used by one
+/// thread.
 class ClusterState {
   public:
     ClusterState(sansio::Context& port, kv::KvClient& store,
@@ -42,61 +46,61 @@
 
     // ---- the term that it is for ----
 
-    // Empties it for the term that has begun.
+    /// Empties it for the term that has begun.
     void begin();
     void clear();
-    // Everything has been read; until then it may not be acted on.
+    /// Everything has been read; until then it may not be acted on.
     bool loaded() const { return loaded_; }
     void set_loaded() { loaded_ = true; }
     std::uint64_t generation() const { return generation_; }
-    // Whether this node still leads in the term for which the ledger was begun.
+    /// Whether this node still leads in the term for which the cluster state was begun.
     bool current(std::uint64_t generation) const;
-    // Whether it may be acted on in that term.
+    /// Whether it may be acted on in that term.
     bool usable_in(std::uint64_t generation) const { return loaded_ && current(generation); }
 
     // ---- jobs ----
 
-    // From its record at that revision; null if the job is known already.
+    /// From its record at that revision; null if the job is known already.
     Job* add_job(kv::JobRecord record, KeyRevision revision);
-    // A job of which only progress is left on record: it is over.
+    /// A job of which only progress is left on record: it is over.
     Job& add_terminal_job(const JobId& id);
     void mark_cancelled(const JobId& id, std::int64_t at_ms);
-    // The end is committed, and is this one: the jobs that wait for it go on, or end with it.
+    /// The end is committed, and is this one: the jobs that wait for it go on, or end with it.
     void ended(const JobId& id, wire::JobPhase how) { dependencies_.ended(id, how); }
     Job* find_job(const JobId& id);
     std::map<JobId, Job>& jobs() { return jobs_; }
     DependencyGraph& dependencies() { return dependencies_; }
     void mark_done(Job& job, std::uint32_t index);
     void mark_preemption_protected(Job& job, std::uint32_t index);
-    // Ends the job if all of its tasks are done.
+    /// Ends the job if all of its tasks are done.
     void finish_if_done(Job& job);
-    // Forgets ended jobs that have left no trace on any machine.
+    /// Forgets ended jobs that have left no trace on any machine.
     void forget_terminal_jobs();
 
     // ---- machines ----
 
-    // A machine that no rental's answer has named.
+    /// A machine that no scale-out request's answer has named.
     Machine& add_machine(const MachineName& host, const std::string& machine_type,
                          const std::string& zone, bool spot);
-    // A machine that a record names.
+    /// A machine that a record names.
     Machine& create_machine(const MachineName& host);
     Machine* find_machine(const MachineName& host);
     std::map<MachineName, Machine>& machines() { return machines_; }
-    // What a machine is, where its record does not say.
+    /// What a machine is, where its record does not say.
     void describe(Machine& machine, const std::string& machine_type, const std::string& zone,
                   bool spot);
-    // The machine is proved gone, and so is everything on it.
+    /// The machine is proved gone, and so is everything on it.
     void drop_machine(Machine& machine);
     void request_commands(Machine& machine);
-    // Those for which commands have been requested since the last call.
+    /// Those for which commands have been requested since the last call.
     std::vector<Machine*> take_machines_needing_commands();
 
     // ---- placements ----
 
     void place(Job& job, Machine& machine);
-    // A placement that is on record.
+    /// A placement that is on record.
     void restore_placement(Job& job, std::uint32_t index, Machine& machine, Attempt attempt);
-    // The placement is proved gone (or was never sent). The task waits again unless it is done.
+    /// The placement is proved gone (or was never sent). The task waits again unless it is done.
     void remove(Machine& machine, PlacementKey key);
     void set_running(Placement& placement, bool running);
     /// Has the task stopped by a command to its worker, unless it is being stopped already; its
@@ -105,34 +109,34 @@
     void stop_task(Placement& placement, double grace_s);
     const TeamUsage& use(const std::string& team) { return use_[team]; }
 
-    // ---- rentals ----
+    // ---- scale-out requests ----
 
     void add_scale_out(const wire::ScaleOutRequest& request);
     void restore_scale_out(ScaleOutRecord rental);
-    // The cloud's answer: the machines that the request has brought. Without any it is over.
+    /// The cloud's answer: the machines that the request has brought. Without any it is over.
     void scale_out_answered(const std::string& idempotency_key,
                             const std::vector<MachineName>& hosts);
     const std::map<std::string, ScaleOutRecord>& scale_outs() const { return scale_outs_; }
-    // Idempotency keys of the requests that the cloud has not answered yet.
+    /// Idempotency keys of the requests that the cloud has not answered yet.
     const std::set<std::string>& unanswered_scale_outs() const { return unanswered_scale_outs_; }
     bool scale_out_committed(const std::string& idempotency_key) const;
 
     // ---- records ----
 
-    // The format of the records that are written.
+    /// The format of the records that are written.
     std::uint64_t format() const { return format_; }
-    // The format that a record says is in force.
+    /// The format that a record says is in force.
     void restore_format(std::uint64_t format) { format_ = format; }
-    // Every controller knows the format: it may be written from now on, for good.
+    /// Every controller knows the format: it may be written from now on, for good.
     void adopt_format(std::uint64_t format);
     Version version() const { return dirty_.version(); }
-    // The record's changes up to this version are in the state service.
+    /// The record's changes up to this version are in the key-value store.
     bool committed(const std::string& key, Version version) const {
         return dirty_.is_committed(key, version);
     }
     DirtyRecords& dirty() { return dirty_; }
     StoredRecords& stored() { return stored_; }
-    // Whether a transaction with changes of the ledger is under way.
+    /// Whether a transaction with changes of the cluster state is under way.
     bool committing() const { return committing_; }
     void set_committing(bool committing) { committing_ = committing; }
 
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -73,8 +73,8 @@
     }
 }
 
-// The job is not in the ledger, or how it ended is not known here: its end is read. It may not be
-// there yet, as what others write arrives in its own time. Those asked for together are read
+// The job is not in the cluster state, or how it ended is not known here: its end is read. It may
+// not be there yet, as what others write arrives in its own time. Those asked for together are read
 // together.
 void DependencyGraph::read_end(const JobId& id) {
     if (!dependents_.contains(id) || !unread_ends_.insert(id).second || reading_) return;
@@ -102,7 +102,7 @@
         unread_ends_.erase(id);
         ended(id, kv::decode_terminal_record(row.value).phase);
     }
-    // What is open in the ledger has no end yet; the watch reports it.
+    // What is open in the cluster state has no end yet; the watch reports it.
     std::erase_if(unread_ends_, [this](const JobId& id) {
         const auto* job = find(id);
         return job && job->state != JobState::terminal;
--- a/src/state/dependency_graph.hpp
+++ b/src/state/dependency_graph.hpp
@@ -1,7 +1,8 @@
-// Which jobs wait on which others. What lets a job start, or cancels it, are committed ends alone.
-//
-// Each job keeps the set of its open dependencies; the graph holds the reverse edges. It also
-// spreads the priority and the latest end that a job asks of those before it.
+/// \file
+/// Which jobs wait on which others. What lets a job start, or cancels it, are committed ends alone.
+///
+/// Each job keeps the set of its open dependencies; the graph holds the reverse edges. It also
+/// spreads the priority and the latest end that a job asks of those before it.
 #pragma once
 
 #include <functional>
@@ -16,6 +17,7 @@
 
 namespace dunebridge::state {
 
+/// Which jobs wait for which others, and the order that this imposes on them.
 class DependencyGraph {
   public:
     struct Callbacks {
@@ -29,11 +31,11 @@
                     Callbacks callbacks);
 
     void clear();
-    // The job waits on all that its submission names. Ends that are not known here are read.
+    /// The job waits on all that its submission names. Ends that are not known here are read.
     void add(Job& job);
-    // The job's end is committed: those that wait on it go on, or are cancelled, and so on.
+    /// The job's end is committed: those that wait on it go on, or are cancelled, and so on.
     void ended(const JobId& id, wire::JobPhase how);
-    // Reads how the job ended, if any other waits on it.
+    /// Reads how the job ended, if any other waits on it.
     void read_end(const JobId& id);
 
   private:
@@ -41,7 +43,7 @@
     void take_ends(const kv::MultiGetResult& rows);
     void propagate_priority(const Job& from);
     Job* find(const JobId& id);
-    // Runs it after the delay, if the graph has not been cleared meanwhile.
+    /// Runs it after the delay, if the graph has not been cleared meanwhile.
     void after(Millis delay, std::function<void()> then);
 
     sansio::Context& context_;
--- a/src/state/dirty_records.hpp
+++ b/src/state/dirty_records.hpp
@@ -1,5 +1,6 @@
-// Which records of the ledger have changed in memory and are not in the state service yet, and when
-// each is to be committed.
+/// \file
+/// Which records of the cluster state have changed in memory and are not in the key-value store
+/// yet, and when each is to be committed.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +14,14 @@
 
 namespace dunebridge::state {
 
-// How soon a change is to be committed; the first go first.
+/// How soon a change is to be committed; the first go first.
 enum class CommitUrgency : std::uint8_t {
     terminal,  // users wait for it
-    prompt,    // a placement or a rental request: something starts once it is committed
+    prompt,    // a placement or a scale-out request request: something starts once it is committed
     batched    // something proved done or gone: the workers' lists hold it until then
 };
 
+/// A record with changes that are not committed yet.
 struct DirtyRecord {
     Version first = 0;  // of the oldest change that is not committed
     Version last = 0;   // of the newest
@@ -27,7 +29,7 @@
     Instant since{};
 };
 
-// Every change to the ledger gets a version, which grows as long as the process lives.
+/// Every change to the cluster state gets a version, which grows as long as the process lives.
 class DirtyRecords {
   public:
     explicit DirtyRecords(sansio::Context& port) : context_(port) {}
@@ -35,22 +37,22 @@
     void clear() { records_.clear(); }
     bool empty() const { return records_.empty(); }
     Version version() const { return version_; }
-    // Null if the record has no change that is not committed.
+    /// Null if the record has no change that is not committed.
     const DirtyRecord* find(const std::string& key) const;
 
-    // The record has changed.
+    /// The record has changed.
     void mark(const std::string& key, CommitUrgency urgency);
-    // The record takes over changes that another has been waiting with.
+    /// The record takes over changes that another has been waiting with.
     void mark_in_place_of(const DirtyRecord& earlier, const std::string& key);
     void erase(const std::string& key) { records_.erase(key); }
-    // The record's changes up to the version are committed.
+    /// The record's changes up to the version are committed.
     void committed(const std::string& key, Version version);
-    // What is left of the record's changes lets nothing start.
+    /// What is left of the record's changes lets nothing start.
     void lower_to_cadence(const std::string& key);
 
-    // Whether the record's changes up to the version are in the state service.
+    /// Whether the record's changes up to the version are in the key-value store.
     bool is_committed(const std::string& key, Version version) const;
-    // Keys of what is to be committed now, the most urgent class first, the oldest first in each.
+    /// Keys of what is to be committed now, the most urgent class first, the oldest first in each.
     std::vector<std::string> due();
 
   private:
--- a/src/state/run_time_estimator.hpp
+++ b/src/state/run_time_estimator.hpp
@@ -1,5 +1,6 @@
-// Run times to be expected of tasks: the users' estimates, corrected by what each class has shown.
-// They rank and size; no rule rests on them.
+/// \file
+/// Run times to be expected of tasks: the users' estimates, corrected by what each class has shown.
+/// They rank and size; no rule rests on them.
 #pragma once
 
 #include <map>
@@ -12,10 +13,11 @@
 /// Users' estimates of run times are often too low by half.
 inline constexpr double kRunTimeUncertainty = 1.5;
 
+/// Expected run times: the owners' estimates, corrected by what each job class has shown.
 class RunTimeEstimator {
   public:
     double expected_s(const state::Job& job) const;
-    // A task of the job has run for so long.
+    /// A task of the job has run for so long.
     void learn(const state::Job& job, double ran_s);
 
   private:
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -28,7 +28,7 @@
     bool stored = false;                   ///< its result, or its checkpoint, is stored
 };
 
-/// A worker's heartbeat with its status: the body of a check-in, and the response to a direct
+/// A worker's heartbeat with its status: the body of a heartbeat, and the response to a direct
 /// command.
 struct WorkerHeartbeat {
     MachineName host;
--- a/src/workers/worker_client.hpp
+++ b/src/workers/worker_client.hpp
@@ -1,4 +1,5 @@
-// Sends direct commands to workers.
+/// \file
+/// Sends direct commands to workers.
 #pragma once
 
 #include <functional>
@@ -11,13 +12,15 @@
 
 namespace dunebridge::workers {
 
+/// The result of a direct command.
 struct CommandResult {
-    // Certainly not executed, now or later. Without it they may have been, or may yet be.
+    /// Certainly not executed, now or later. Without it they may have been, or may yet be.
     bool unexecuted = false;
-    // The worker's report after the commands.
+    /// The worker's report after the commands.
     std::optional<wire::WorkerHeartbeat> heartbeat;
 };
 
+/// Sends direct commands to workers.
 class WorkerClient {
   public:
     explicit WorkerClient(sansio::Context& context) : context_(context) {}
--- a/tests/command_delivery_test.cpp
+++ b/tests/command_delivery_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_GT(reply.token, direct.commands.token);
 }
 
-// The start went with a check-in's answer; a direct command that repeats it cannot be sent. That
+// The start went with a heartbeat's answer; a direct command that repeats it cannot be sent. That
 // one was not executed proves nothing about the other.
 TEST(ControllerTest, AnUnsentCommandDoesNotUndoTheAnswerBeforeIt) {
     ControllerHarness s(1);
@@ -65,7 +65,7 @@
     ASSERT_EQ(s.request("POST", "/v1/jobs/" + second.id.get() + "/abort", {}).status, 200);
     s.run(Millis(3000));
     EXPECT_EQ(s.recorded_hosts(second.id), Hosts{w.heartbeat.host.get()});
-    // The next check-in shows that the answer was lost.
+    // The next heartbeat shows that the answer was lost.
     s.send_heartbeat(w.next_heartbeat());
     s.run(Millis(3000));
     EXPECT_EQ(s.recorded_hosts(second.id), Hosts{});
--- a/tests/controller_fixtures.hpp
+++ b/tests/controller_fixtures.hpp
@@ -33,7 +33,7 @@
     }
 }
 
-/// The start of the second job's task is on its way twice: in a check-in's answer, and in a direct
+/// The start of the second job's task is on its way twice: in a heartbeat's answer, and in a direct
 /// command that has no answer yet. The first job's task runs.
 struct StartSentTwice {
     HarnessWorker worker;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -27,7 +27,7 @@
     EXPECT_GE(effects.logs.size(), 1u);
 }
 
-// A leader that stood still for longer than its lease may have been replaced: it answers none of
+// A leader that stalled for longer than its lease may have been replaced: it answers none of
 // what waited for it as one entitled to.
 TEST(ControllerTest, NoRequestIsServedAsLeaderAfterAnEventLoopStall) {
     ControllerHarness s(1);
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -12,7 +12,7 @@
 namespace dunebridge::sim {
 namespace {
 
-// The graph alone, with jobs as the ledger holds them.
+// The graph alone, with jobs as the cluster state holds them.
 class DependencyGraphTest : public testing::Test {
   protected:
     state::Job& add(int n, wire::Priority priority, std::vector<JobId> dependencies = {},
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -31,7 +31,7 @@
     wire::Writer w;
     wire::encode_job(w, dependent_job(4, {JobId("not an id")}));
     EXPECT_EQ(s.request("POST", "/v1/jobs", w.take()).status, 400);
-    // What the state service does not confirm is neither taken nor refused.
+    // What the key-value store does not confirm is neither taken nor refused.
     s.state().set_outage(true);
     EXPECT_EQ(s.submit(dependent_job(5, {JobId("req-999998")})), 503);
 }
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -52,7 +52,7 @@
     EXPECT_EQ(status_of("DELETE", "/v1/jobs", ""), 405);
     EXPECT_EQ(status_of("POST", "/v1/jobs", "not a map"), 400);
     EXPECT_EQ(status_of("POST", "/v1/jobs", std::string(70000, 'x')), 400);
-    // Whether a job is known cannot be told without the state service.
+    // Whether a job is known cannot be told without the key-value store.
     EXPECT_EQ(status_of("GET", "/v1/jobs/req-1", ""), 503);
     EXPECT_EQ(status_of("POST", "/v1/jobs/req-1/abort", ""), 503);
     EXPECT_EQ(status_of("POST", "/checkin", "\x80"), 503);
--- a/tests/sim/fake_cloud.hpp
+++ b/tests/sim/fake_cloud.hpp
@@ -19,7 +19,7 @@
 /// boots, and lists may be out of date by up to twice the list lag.
 class FakeCloud {
   public:
-    /// A machine, from its rental on.
+    /// A machine, from its scale-out request on.
     struct Machine {
         wire::MachineListing row;
         Instant rented{};
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -61,7 +61,7 @@
     std::thread thread_;
 };
 
-// Every place is taken by idle check-in connections, then by ones that never ask: a user still
+// Every place is taken by idle heartbeat connections, then by ones that never ask: a user still
 // gets an answer each time, and those with the most places lose one.
 TEST_F(SocketsTest, NoGroupOfClientsShutsOutAnother) {
     const auto port = serve(10).port();
@@ -116,7 +116,7 @@
     EXPECT_EQ(refused.outcome, sansio::CallOutcome::not_sent);
 }
 
-// The process stands still for longer than the call may take; the answer, too long to be read at
+// The process stalls for longer than the call may take; the answer, too long to be read at
 // once, came before that time was over. It is read, not given up.
 TEST_F(SocketsTest, AResponseThatArrivedDuringAStallIsRead) {
     constexpr std::size_t bytes = std::size_t{4} * 1024 * 1024;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -37,8 +37,8 @@
      "6f775f6d616e7901a5686f73747391a9766d2d303030303030"},
 };
 
-// Written by the first version with chains (ledger format 3): three jobs one after the other, the
-// last of which is cancelled; of the first, which has three tasks, one is done.
+// Written by the first version with chains (cluster state format 3): three jobs one after the
+// other, the last of which is cancelled; of the first, which has three tasks, one is done.
 const Row kFirstWithChains[] = {
     {"job/req-000001",
      "82a26174cf0000018bcfe577a5a473706563de0014a76e616d655f6964aa7265712d303030303031a86a6f62636c6"
