--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -85,25 +85,26 @@
     }
     auto& request = std::get<Request>(command);
     const auto id = request.id;
-    std::visit([&](auto&& routed) { handle_request(id, std::move(routed)); },
-               route(std::move(request)));
+    std::visit([&](const auto& routed) { handle_request(id, routed); }, route(std::move(request)));
 }
 
-void Controller::handle_request(RequestId id, SubmitJob&& request) {
+void Controller::handle_request(RequestId id, const SubmitJob& request) {
     jobs_.submit(id, request.body);
 }
 
-void Controller::handle_request(RequestId id, PollJob&& request) { jobs_.poll(id, request.job); }
+void Controller::handle_request(RequestId id, const PollJob& request) {
+    jobs_.poll(id, request.job);
+}
 
-void Controller::handle_request(RequestId id, CancelJob&& request) {
+void Controller::handle_request(RequestId id, const CancelJob& request) {
     jobs_.cancel(id, request.job);
 }
 
-void Controller::handle_request(RequestId id, sansio::Refusal&& refusal) {
+void Controller::handle_request(RequestId id, const sansio::Refusal& refusal) {
     context_.refuse(id, refusal);
 }
 
-void Controller::handle_request(RequestId id, WorkerHeartbeatRequest&& request) {
+void Controller::handle_request(RequestId id, const WorkerHeartbeatRequest& request) {
     // A relayed heartbeat is not relayed once more.
     if (!leads() && request.relayed) {
         context_.refuse(id, RefusalReason::not_the_leader);
@@ -131,7 +132,7 @@
     }
 }
 
-void Controller::handle_request(RequestId id, PeerHeartbeatRequest&& request) {
+void Controller::handle_request(RequestId id, const PeerHeartbeatRequest& request) {
     try {
         const auto document = wire::Document::need(request.body);
         peer_monitor_.record_heartbeat(coordination::decode_peer_heartbeat(document.root()));
@@ -144,7 +145,7 @@
     }
 }
 
-void Controller::handle_request(RequestId id, ReadinessProbe&&) {
+void Controller::handle_request(RequestId id, const ReadinessProbe& /*probe*/) {
     if (ready()) {
         context_.respond(id, sansio::kHttpOk, wire::Writer().map(0).take());
     } else {
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -57,13 +57,13 @@
   private:
     // Requests and results.
     void handle(Command&& command);
-    void handle_request(RequestId id, SubmitJob&& request);
-    void handle_request(RequestId id, PollJob&& request);
-    void handle_request(RequestId id, CancelJob&& request);
-    void handle_request(RequestId id, WorkerHeartbeatRequest&& request);
-    void handle_request(RequestId id, ReadinessProbe&& request);
-    void handle_request(RequestId id, PeerHeartbeatRequest&& request);
-    void handle_request(RequestId id, sansio::Refusal&& refusal);
+    void handle_request(RequestId id, const SubmitJob& request);
+    void handle_request(RequestId id, const PollJob& request);
+    void handle_request(RequestId id, const CancelJob& request);
+    void handle_request(RequestId id, const WorkerHeartbeatRequest& request);
+    void handle_request(RequestId id, const ReadinessProbe& request);
+    void handle_request(RequestId id, const PeerHeartbeatRequest& request);
+    void handle_request(RequestId id, const sansio::Refusal& refusal);
     void handle_worker_heartbeat_as_leader(RequestId id, wire::Value body);
     bool ready() const;
 
--- a/src/provisioning/pool_selection.cpp
+++ b/src/provisioning/pool_selection.cpp
@@ -66,7 +66,7 @@
 
 std::optional<SelectedPool> select_pool(const ScalingInput& input, const PlannedFleet& fleet,
                                         const MachineRequirement& requirement) {
-    const auto selected = cheapest_pool(input, fleet, requirement, PoolLimits::obeyed);
+    auto selected = cheapest_pool(input, fleet, requirement, PoolLimits::obeyed);
     if (selected) return selected;
     return cheapest_pool(input, fleet, requirement, PoolLimits::ignored);
 }
--- a/src/scheduler/bin_packing.cpp
+++ b/src/scheduler/bin_packing.cpp
@@ -54,7 +54,7 @@
 
 std::vector<MachineIndex> future_fit(const std::vector<FreeCapacity>& machines,
                                      const Resources& need, const IsEligible& is_eligible,
-                                     const EarliestAvailable_s& earliest_available_s) {
+                                     const EarliestAvailable& earliest_available_s) {
     std::vector<RankedMachine<double>> ranked;
     for (MachineIndex i = 0; i < machines.size(); ++i) {
         if (!machines[i].free_after_stops.holds(need) || !is_eligible(i)) continue;
--- a/src/scheduler/bin_packing.hpp
+++ b/src/scheduler/bin_packing.hpp
@@ -34,7 +34,7 @@
 using HasImage = std::function<bool(MachineIndex)>;
 /// Returns the time in seconds until the first of the machine's tasks is expected to end (the
 /// paper's earliest available time plus slack). It ranks machines and decides nothing else.
-using EarliestAvailable_s = std::function<double(MachineIndex)>;
+using EarliestAvailable = std::function<double(MachineIndex)>;
 
 /// Ranks the machines that can take a task now, the fullest first.
 ///
@@ -46,6 +46,6 @@
 /// that becomes available earliest first. For tasks that fit no machine now.
 std::vector<MachineIndex> future_fit(const std::vector<FreeCapacity>& machines,
                                      const Resources& need, const IsEligible& is_eligible,
-                                     const EarliestAvailable_s& earliest_available_s);
+                                     const EarliestAvailable& earliest_available_s);
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -35,7 +35,7 @@
     for (const auto& objective : config_.objectives) {
         const auto within_s = objective.within_s;
         if (within_s <= 0) continue;
-        auto& of_class = objective.job_class;
+        const auto& of_class = objective.job_class;
         if (objective.kind == "wait") lower(objectives_[of_class].wait_s, within_s);
         if (objective.kind == "finished") lower(objectives_[of_class].finished_s, within_s);
         if (objective.kind == "guarantee") lower(guarantee_s_, within_s);
