--- a/tests/command_delivery_test.cpp
+++ b/tests/command_delivery_test.cpp
@@ -130,9 +130,10 @@
     acknowledge_token(s, w);
     // No connection to it can be made, and the answers to its reports are lost.
     for (int i = 0; i < 8; ++i) {
-        while (!s.commands_in_flight().empty())
+        while (!s.commands_in_flight().empty()) {
             s.complete(s.commands_in_flight()[0],
                        sansio::HttpResult(sansio::CallOutcome::not_sent));
+        }
         s.send_heartbeat(w.next_heartbeat());
         s.run(Millis(1000));
     }
--- a/tests/sim/fake_worker.cpp
+++ b/tests/sim/fake_worker.cpp
@@ -29,7 +29,7 @@
     tick();
 }
 
-void FakeWorker::hang(Millis for_) { hang_until_ = clock_.now() + for_; }
+void FakeWorker::hang(Millis duration) { hang_until_ = clock_.now() + duration; }
 
 void FakeWorker::tick() {
     if (gone_) return;
--- a/tests/sim/fake_worker.hpp
+++ b/tests/sim/fake_worker.hpp
@@ -56,7 +56,7 @@
     /// The machine is gone: nothing runs on it and nothing is sent.
     void stop() { gone_ = true; }
     /// The process does nothing for the span; its lease expires all the same.
-    void hang(Millis for_);
+    void hang(Millis duration);
     void set_notice(Instant at) { taken_at_ = at; }
     void set_faulty(bool faulty) { faulty_ = faulty; }
 
