--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -103,9 +103,10 @@
             batch.clear();
             for (const auto& a : effects.responses) answered = answered || a.status == 503;
             calls += effects.calls.size();
-            for (const auto& c : effects.calls)
+            for (const auto& c : effects.calls) {
                 batch.push_back(controller::CallCompleted{
                     c.id, sansio::HttpResult(sansio::CallOutcome::not_sent)});
+            }
         }
         EXPECT_TRUE(answered);
         EXPECT_GT(calls, 5u);
