--- a/tests/sim/drawn_faults.cpp
+++ b/tests/sim/drawn_faults.cpp
@@ -5,6 +5,7 @@
 
 using WorkerFault = FaultInjector::WorkerFault;
 
+// NOLINTNEXTLINE(readability-function-size): a table of faults, one line each.
 void RandomFaults::inject_any() {
     const Millis span(1000 + static_cast<std::int64_t>(sim_.fault_rng() % 30000));
     const auto percent = static_cast<unsigned>(20 + sim_.fault_rng() % 60);
--- a/tests/sim/fake_kv_store.cpp
+++ b/tests/sim/fake_kv_store.cpp
@@ -200,26 +200,18 @@
     reply({200, w.take()});
 }
 
-void FakeKvStore::transact(const std::string& body, const Reply& reply) {
-    const auto doc = Document::parse(body);
-    const auto preconditions = doc->root()["guards"];
-    const auto writes = doc->root()["writes"];
-    bool too_large = writes.size() > limits_.txn_ops ||
-                     preconditions.size() > 4 * limits_.txn_ops || json_size(body) > wire::kMaxBody;
+bool FakeKvStore::exceeds_limits(const std::string& body, wire::Value preconditions,
+                                 wire::Value writes) const {
+    if (writes.size() > limits_.txn_ops || preconditions.size() > 4 * limits_.txn_ops) return true;
+    if (json_size(body) > wire::kMaxBody) return true;
     for (std::size_t i = 0; i < writes.size(); ++i) {
         const auto value = writes.at(i)["value"];
-        if (!value.is_null()) too_large |= json_size(value.pack()) > limits_.value_bytes;
-    }
-    if (too_large) {
-        ++violations_;
-        reply({400, {}});
-        return;
-    }
-    if (!change_bucket_.take(static_cast<double>(writes.size()), limits_.write_rps, clock_.now())) {
-        ++refusals_;
-        reply({429, {}});
-        return;
+        if (!value.is_null() && json_size(value.pack()) > limits_.value_bytes) return true;
     }
+    return false;
+}
+
+std::vector<std::string> FakeKvStore::failed_preconditions(wire::Value preconditions) const {
     std::vector<std::string> failed;
     for (std::size_t i = 0; i < preconditions.size(); ++i) {
         const auto key = preconditions.at(i)["key"].need_text("key");
@@ -227,13 +219,51 @@
         const auto rev = it == keys_.end() ? 0 : it->second.rev;
         if (rev != preconditions.at(i)["key_rev"].need_count("key_rev")) failed.push_back(key);
     }
+    return failed;
+}
+
+bool FakeKvStore::names_expired_lease(wire::Value writes) const {
     for (std::size_t i = 0; i < writes.size(); ++i) {
         const auto lease = writes.at(i)["tenancy"].count();
-        if (lease && !leases_.contains(*lease)) {
-            reply({400, wire::Writer().map(1).text("error").text("no such lease").take()});
-            return;
+        if (lease && !leases_.contains(*lease)) return true;
+    }
+    return false;
+}
+
+void FakeKvStore::apply_writes(wire::Value writes) {
+    if (writes.size() > 0) ++rev_;
+    for (std::size_t i = 0; i < writes.size(); ++i) {
+        const auto write = writes.at(i);
+        if (write.contains("remove")) {
+            const auto key = write["remove"].need_text("remove");
+            if (keys_.contains(key)) remove(key);
+            continue;
         }
+        const auto key = write["set"].need_text("set");
+        keys_[key] = {write["value"].pack(), rev_, write["tenancy"].count().value_or(0)};
+        changes_.push_back({rev_, key, false, keys_[key].value});
     }
+}
+
+void FakeKvStore::transact(const std::string& body, const Reply& reply) {
+    const auto doc = Document::parse(body);
+    const auto preconditions = doc->root()["guards"];
+    const auto writes = doc->root()["writes"];
+    if (exceeds_limits(body, preconditions, writes)) {
+        ++violations_;
+        reply({400, {}});
+        return;
+    }
+    if (!change_bucket_.take(static_cast<double>(writes.size()), limits_.write_rps, clock_.now())) {
+        ++refusals_;
+        reply({429, {}});
+        return;
+    }
+    if (names_expired_lease(writes)) {
+        reply({400, wire::Writer().map(1).text("error").text("no such lease").take()});
+        return;
+    }
+    const auto failed = failed_preconditions(preconditions);
     if (!failed.empty()) {
         Writer w;
         w.map(2).text("failed").list(failed.size());
@@ -243,18 +273,7 @@
         return;
     }
     count_changes(writes.size());
-    if (writes.size() > 0) ++rev_;
-    for (std::size_t i = 0; i < writes.size(); ++i) {
-        const auto v = writes.at(i);
-        if (v.contains("remove")) {
-            const auto key = v["remove"].need_text("remove");
-            if (keys_.contains(key)) remove(key);
-            continue;
-        }
-        const auto key = v["set"].need_text("set");
-        keys_[key] = {v["value"].pack(), rev_, v["tenancy"].count().value_or(0)};
-        changes_.push_back({rev_, key, false, keys_[key].value});
-    }
+    apply_writes(writes);
     reply({200, Writer().map(1).text("store_rev").count(rev_).take()});
     if (writes.size() > 0) notify();
 }
--- a/tests/sim/fake_kv_store.hpp
+++ b/tests/sim/fake_kv_store.hpp
@@ -76,6 +76,11 @@
 
     void get(const std::string& key, const Reply& reply);
     void list(const std::string& query, const Reply& reply);
+    bool exceeds_limits(const std::string& body, wire::Value preconditions,
+                        wire::Value writes) const;
+    std::vector<std::string> failed_preconditions(wire::Value preconditions) const;
+    bool names_expired_lease(wire::Value writes) const;
+    void apply_writes(wire::Value writes);
     void transact(const std::string& body, const Reply& reply);
     void watch(const std::string& query, const Reply& reply);
     void remove(const std::string& key);
