--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -62,8 +62,8 @@
     provisioner_.tick_machine_types();
     const bool upkeep = upkeep_due();
     if (upkeep && election_.is_leader()) leadership_guard_.suspend_leadership_if_isolated();
-    if (upkeep && leads()) leadership_guard_.resign_if_no_worker_heartbeats();
-    if (leads()) run_leader_tasks(upkeep);
+    if (upkeep && is_active_leader()) leadership_guard_.resign_if_no_worker_heartbeats();
+    if (is_active_leader()) run_leader_tasks(upkeep);
     jobs_.tick();
     peer_monitor_.send_due_heartbeats();
     context_.request_wake(now + kMaxStepInterval);
@@ -106,13 +106,13 @@
 
 void Controller::handle_request(RequestId id, const WorkerHeartbeatRequest& request) {
     // A relayed heartbeat is not relayed once more.
-    if (!leads() && request.relayed) {
+    if (!is_active_leader() && request.relayed) {
         context_.refuse(id, RefusalReason::not_the_leader);
         return;
     }
     try {
         const auto document = wire::Document::need(request.body);
-        if (leads()) {
+        if (is_active_leader()) {
             handle_worker_heartbeat_as_leader(id, document.root());
         } else {
             heartbeat_relay_.handle(id, request.body, document.root());
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -52,7 +52,7 @@
     Instant wake() const { return context_.wake(); }
 
     /// Whether this node leads and has loaded the cluster state: only then does it decide.
-    bool leads() const { return election_.is_leader() && state_.loaded(); }
+    bool is_active_leader() const { return election_.is_leader() && state_.loaded(); }
 
   private:
     // Requests and results.
--- a/src/controller/peer_heartbeat_builder.cpp
+++ b/src/controller/peer_heartbeat_builder.cpp
@@ -24,7 +24,7 @@
 PeerHeartbeat PeerHeartbeatBuilder::build() {
     PeerHeartbeat heartbeat;
     heartbeat.node = config_.name;
-    heartbeat.leads = leads();
+    heartbeat.leads = is_active_leader();
     heartbeat.term = election_.is_leader() ? election_.term() : peer_monitor_.highest_term();
     heartbeat.kv_reachable = kv_client_.reachable();
     heartbeat.format = config_.newest_record_format;
@@ -49,7 +49,7 @@
 }
 
 JobProgress PeerHeartbeatBuilder::progress(const JobId& job) {
-    if (leads()) {
+    if (is_active_leader()) {
         const auto* known = state_.find_job(job);
         return known ? JobProgress{job, known->done, known->running} : JobProgress{job, 0, 0};
     }
--- a/src/controller/peer_heartbeat_builder.hpp
+++ b/src/controller/peer_heartbeat_builder.hpp
@@ -38,7 +38,7 @@
     void restore_faulty_jobs();
 
   private:
-    bool leads() const { return election_.is_leader() && state_.loaded(); }
+    bool is_active_leader() const { return election_.is_leader() && state_.loaded(); }
     std::vector<JobId> faulty_jobs() const;
     void mark_faulty(const std::vector<JobId>& jobs);
 
--- a/tests/sim/controller_harness.hpp
+++ b/tests/sim/controller_harness.hpp
@@ -74,7 +74,7 @@
     std::size_t logged_times(const std::string& what) const;
     /// The machines on which the job's tasks are on record.
     std::vector<std::string> recorded_hosts(const JobId& id) const;
-    bool leads() const { return controller_->leads(); }
+    bool leads() const { return controller_->is_active_leader(); }
     /// While set, transactions that write are lost: they are neither carried out nor answered.
     void set_writes_lost(bool lost) { writes_lost_ = lost; }
     FakeKvStore& state() { return state_; }
--- a/tests/sim/controller_processes.cpp
+++ b/tests/sim/controller_processes.cpp
@@ -172,7 +172,7 @@
 
 std::size_t ControllerProcesses::leader() const {
     for (std::size_t i = 0; i < processes_.size(); ++i) {
-        if (processes_[i].controller && processes_[i].controller->leads()) return i;
+        if (processes_[i].controller && processes_[i].controller->is_active_leader()) return i;
     }
     return processes_.size();
 }
--- a/tests/sim/controller_processes.hpp
+++ b/tests/sim/controller_processes.hpp
@@ -43,7 +43,7 @@
     /// The index of the controller that leads, or size() if none does.
     std::size_t leader() const;
     bool leads(std::size_t i) const {
-        return processes_[i].controller && processes_[i].controller->leads();
+        return processes_[i].controller && processes_[i].controller->is_active_leader();
     }
     /// The index of the controller with the name, or size().
     std::size_t named(const std::string& name) const;
