--- a/src/controller/peer_heartbeat_builder.cpp
+++ b/src/controller/peer_heartbeat_builder.cpp
@@ -24,12 +24,12 @@
 PeerHeartbeat PeerHeartbeatBuilder::build() {
     PeerHeartbeat heartbeat;
     heartbeat.node = config_.name;
-    heartbeat.leads = is_active_leader();
+    heartbeat.is_active_leader = is_active_leader();
     heartbeat.term = election_.is_leader() ? election_.term() : peer_monitor_.highest_term();
     heartbeat.kv_reachable = kv_client_.reachable();
     heartbeat.format = config_.newest_record_format;
     heartbeat.cancellations = cancellation_log_.retained();
-    if (!heartbeat.leads) return heartbeat;
+    if (!heartbeat.is_active_leader) return heartbeat;
     own_faulty_jobs_ = faulty_jobs();
     // Sent only once every controller knows this version.
     if (common_record_format() == config_.newest_record_format)
--- a/src/coordination/peer_heartbeat.cpp
+++ b/src/coordination/peer_heartbeat.cpp
@@ -57,7 +57,7 @@
     writer.text("v").count(kVersion);
     writer.text("node").text(heartbeat.node.get());
     writer.text("term").count(heartbeat.term.get());
-    writer.text("leads").boolean(heartbeat.leads);
+    writer.text("leads").boolean(heartbeat.is_active_leader);
     writer.text("state").boolean(heartbeat.kv_reachable);
     encode_progress(writer, heartbeat.progress);
     writer.text("log").count(heartbeat.cancellations.incarnation);
@@ -78,7 +78,7 @@
     PeerHeartbeat heartbeat;
     heartbeat.node = ControllerName(body["node"].need_text("node"));
     heartbeat.term = Term(body["term"].need_count("term"));
-    heartbeat.leads = body["leads"].need_bool("leads");
+    heartbeat.is_active_leader = body["leads"].need_bool("leads");
     heartbeat.kv_reachable = body["state"].need_bool("state");
     heartbeat.progress = decode_progress(body["jobs"]);
     if (!body["format"].is_null()) heartbeat.format = body["format"].need_count("format");
--- a/src/coordination/peer_heartbeat.hpp
+++ b/src/coordination/peer_heartbeat.hpp
@@ -27,7 +27,7 @@
 struct PeerHeartbeat {
     ControllerName node;
     Term term;  ///< A leader's own term; of others the highest that they heard of.
-    bool leads = false;
+    bool is_active_leader = false;
     bool kv_reachable = false;  ///< Whether the sender reaches the key-value store.
     CancellationLogSegment cancellations;
     std::uint64_t format = 2;           ///< Newest record format that the sender knows.
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -85,7 +85,7 @@
     status.heard_at = context_.now();
     last_heard_at_ = context_.now();
     highest_term_ = std::max(highest_term_, heartbeat.term);
-    const bool from_leader = heartbeat.leads && heartbeat.term == highest_term_;
+    const bool from_leader = heartbeat.is_active_leader && heartbeat.term == highest_term_;
     if (from_leader) record_leader_report(status.heartbeat);
 }
 
@@ -107,7 +107,8 @@
 ControllerName PeerMonitor::leader() const {
     for (const auto& [name, status] : peers_) {
         if (!status.recently_heard(context_.now())) continue;
-        if (status.heartbeat.leads && status.heartbeat.term == highest_term_) return name;
+        if (status.heartbeat.is_active_leader && status.heartbeat.term == highest_term_)
+            return name;
     }
     return ControllerName();
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -213,7 +213,7 @@
         const auto heard = coordination::decode_peer_heartbeat(doc->root());
         EXPECT_EQ(heard.node, ControllerName("node-1"));
         EXPECT_EQ(heard.term, Term(7));
-        EXPECT_TRUE(heard.leads);
+        EXPECT_TRUE(heard.is_active_leader);
         EXPECT_TRUE(heard.kv_reachable);
         EXPECT_EQ(heard.format, hex == kProductionHeartbeat ? 2u : 3u);
         EXPECT_EQ(heard.cancellations.incarnation, 99u);
@@ -231,7 +231,7 @@
     coordination::PeerHeartbeat heartbeat;
     heartbeat.node = ControllerName("node-1");
     heartbeat.term = Term(7);
-    heartbeat.leads = heartbeat.kv_reachable = true;
+    heartbeat.is_active_leader = heartbeat.kv_reachable = true;
     heartbeat.cancellations = {99, 3, {JobId("req-000004"), JobId("req-000005")}};
     heartbeat.progress = {{JobId("req-000001"), 2, 1}};
     heartbeat.format = 3;
