--- a/src/coordination/cancellation_log.cpp
+++ b/src/coordination/cancellation_log.cpp
@@ -39,7 +39,7 @@
     const auto end = static_cast<std::ptrdiff_t>(count);
     segment_.jobs.erase(segment_.jobs.begin(), segment_.jobs.begin() + end);
     learnt_at_.erase(learnt_at_.begin(), learnt_at_.begin() + end);
-    segment_.first += count;
+    segment_.first_sequence += count;
 }
 
 void CancellationLog::forget_old_ids(Millis age) {
--- a/src/coordination/cancellation_log.hpp
+++ b/src/coordination/cancellation_log.hpp
@@ -21,12 +21,12 @@
 
 /// A contiguous part of a controller's log, up to its end.
 struct CancellationLogSegment {
-    std::uint64_t incarnation = 0;  ///< Of the process that keeps the log; 0: it keeps none.
-    std::uint64_t first = 1;        ///< Number of the first of `jobs`.
-    std::vector<JobId> jobs;        ///< The cancelled jobs, in the order in which they were learnt.
+    std::uint64_t incarnation = 0;     ///< Of the process that keeps the log; 0: it keeps none.
+    std::uint64_t first_sequence = 1;  ///< Number of the first of `jobs`.
+    std::vector<JobId> jobs;  ///< The cancelled jobs, in the order in which they were learnt.
 
     /// Number that the next cancellation will get.
-    std::uint64_t next() const { return first + jobs.size(); }
+    std::uint64_t next_sequence() const { return first_sequence + jobs.size(); }
 };
 
 /// The cancellations that this controller knows to be committed, numbered in the order in which it
--- a/src/coordination/peer_heartbeat.cpp
+++ b/src/coordination/peer_heartbeat.cpp
@@ -39,7 +39,7 @@
     // A version without the log acknowledges nothing.
     if (body["log"].is_null()) return segment;
     segment.incarnation = body["log"].need_count("log");
-    segment.first = body["from"].need_count("from");
+    segment.first_sequence = body["from"].need_count("from");
     const auto jobs = body["withdrawn"];
     if (jobs.size() > kMaxCancellations) throw wire::DecodeError("withdrawn");
     for (std::size_t i = 0; i < jobs.size(); ++i) {
@@ -61,7 +61,7 @@
     writer.text("state").boolean(heartbeat.kv_reachable);
     encode_progress(writer, heartbeat.progress);
     writer.text("log").count(heartbeat.cancellations.incarnation);
-    writer.text("from").count(heartbeat.cancellations.first);
+    writer.text("from").count(heartbeat.cancellations.first_sequence);
     writer.text("format").count(heartbeat.format);
     writer.text("withdrawn").list(heartbeat.cancellations.jobs.size());
     for (const auto& id : heartbeat.cancellations.jobs) writer.text(id.get());
--- a/src/coordination/peer_status.cpp
+++ b/src/coordination/peer_status.cpp
@@ -12,12 +12,12 @@
 void CancellationLogReceipt::record_response(const CancellationLogSegment& segment,
                                              Instant requested_at, Instant now) {
     if (segment.incarnation == 0) return;
-    if (incarnation_ != segment.incarnation || segment.first > next_) {
+    if (incarnation_ != segment.incarnation || segment.first_sequence > next_) {
         incarnation_ = segment.incarnation;
         complete_since_ = now;
         next_ = 0;
     }
-    next_ = std::max(next_, segment.next());
+    next_ = std::max(next_, segment.next_sequence());
     acknowledged_at_ = std::max(acknowledged_at_, requested_at);
 }
 
--- a/tests/cancellation_log_test.cpp
+++ b/tests/cancellation_log_test.cpp
@@ -31,7 +31,7 @@
     }
     for (auto& log : logs) {
         EXPECT_TRUE(log.retained().jobs.empty());
-        EXPECT_EQ(log.retained().first, 2u);  // logged once
+        EXPECT_EQ(log.retained().first_sequence, 2u);  // logged once
     }
 }
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -217,7 +217,7 @@
         EXPECT_TRUE(heard.kv_reachable);
         EXPECT_EQ(heard.format, hex == kProductionHeartbeat ? 2u : 3u);
         EXPECT_EQ(heard.cancellations.incarnation, 99u);
-        EXPECT_EQ(heard.cancellations.first, 3u);
+        EXPECT_EQ(heard.cancellations.first_sequence, 3u);
         EXPECT_EQ(heard.cancellations.jobs,
                   (std::vector{JobId("req-000004"), JobId("req-000005")}));
         ASSERT_EQ(heard.progress.size(), 1u);
