--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -273,7 +273,7 @@
 
 void Election::resign(Millis cooldown) {
     if (!leader_) return;
-    const auto own_key = precondition();
+    const auto own_key = fencing_precondition();
     step_down(StepDownReason::resigned);
     resigned_until_ = context_.now() + cooldown;
     // This only speeds things up: without it the key goes when its lease expires.
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -51,7 +51,7 @@
     std::uint64_t generation() const { return generation_; }
     /// The precondition that fences off every earlier leader, this controller's earlier terms
     /// included. Part of every transaction on the cluster state.
-    wire::Precondition precondition() const { return {kLeaderKey, leader_key_revision_}; }
+    wire::Precondition fencing_precondition() const { return {kLeaderKey, leader_key_revision_}; }
     /// The leader last seen in the key-value store, empty if none.
     const ControllerName& observed_leader() const { return observed_leader_; }
 
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -70,7 +70,7 @@
 
 void ClusterStateWriter::build_and_send(const std::vector<std::string>& due_keys) {
     TransactionBuilder builder(context_, state_, pending_splits_, transaction_limits(),
-                               election_.precondition());
+                               election_.fencing_precondition());
     for (const auto& key : due_keys) {
         if (builder.add(key) == TransactionBuilder::AddResult::transaction_full) break;
     }
