--- a/src/controller/batch_order.hpp
+++ b/src/controller/batch_order.hpp
@@ -22,6 +22,6 @@
 
 /// Sorts a batch by urgency: first what leases and leadership depend on, then cancellations,
 /// submissions, and last what only asks. Commands of the same urgency keep their order.
-void sort_by_urgency(std::vector<Command>& batch);
+void sort_by_priority(std::vector<Command>& batch);
 
 }  // namespace dunebridge::controller
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -54,7 +54,7 @@
     context_.clear_wake_time();
     if (leadership_guard_.suspend_leadership_after_stall(last_apply_)) handle_leadership_change();
     last_apply_ = now;
-    sort_by_urgency(batch);
+    sort_by_priority(batch);
     for (auto& command : batch) handle(std::move(command));
     context_.run_timers();
     update_election();
--- a/tests/router_test.cpp
+++ b/tests/router_test.cpp
@@ -111,7 +111,7 @@
     batch.emplace_back(CallCompleted{CallId(1), {}});
     add("GET", "/ready", Listener::front);
     add("POST", "/v1/jobs/req-2/abort", Listener::front);
-    sort_by_urgency(batch);
+    sort_by_priority(batch);
     EXPECT_TRUE(std::holds_alternative<CallCompleted>(batch.front()));
     std::vector<std::uint64_t> order;
     for (std::size_t i = 1; i < batch.size(); ++i)
