--- a/src/controller/cancellation_broadcast.cpp
+++ b/src/controller/cancellation_broadcast.cpp
@@ -18,24 +18,24 @@
 void CancellationBroadcast::record(const JobId& job) {
     const bool is_new = cancellation_log_.append(job);
     const bool leads = election_.is_leader() && state_.loaded();
-    if (is_new && leads) apply(job);
+    if (is_new && leads) apply_to_cluster_state(job);
 }
 
-void CancellationBroadcast::broadcast(const JobId& job, std::function<void()> then) {
+void CancellationBroadcast::notify_leader(const JobId& job, std::function<void()> on_completed) {
     record(job);
     const auto leader = leader_to_notify();
     if (leader.get().empty()) {
-        then();
+        on_completed();
     } else {
-        peer_monitor_.send_heartbeat(leader, std::move(then));
+        peer_monitor_.send_heartbeat(leader, std::move(on_completed));
     }
 }
 
 void CancellationBroadcast::apply_log() {
-    for (const auto& job : cancellation_log_.retained().jobs) apply(job);
+    for (const auto& job : cancellation_log_.retained().jobs) apply_to_cluster_state(job);
 }
 
-void CancellationBroadcast::apply(const JobId& job) {
+void CancellationBroadcast::apply_to_cluster_state(const JobId& job) {
     state_.mark_cancelled(job, context_.wall_ms());
     state_.ended(job, wire::JobPhase::cancelled);
 }
--- a/src/controller/cancellation_broadcast.hpp
+++ b/src/controller/cancellation_broadcast.hpp
@@ -28,12 +28,12 @@
     /// Records it and informs the leader, then runs `then`: when the leader has answered, or has
     /// not in time. The leader is to know before the user does, so that nothing starts after that;
     /// if it does not answer, the time for which it may renew leases is bounded all the same.
-    void broadcast(const JobId& job, std::function<void()> then);
+    void notify_leader(const JobId& job, std::function<void()> on_completed);
     /// Applies the whole log to the cluster state that has just been loaded.
     void apply_log();
 
   private:
-    void apply(const JobId& job);
+    void apply_to_cluster_state(const JobId& job);
     ControllerName leader_to_notify() const;
 
     sansio::Context& context_;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 constexpr Millis kMaxStepInterval{100};
-constexpr Millis kMinScheduleInterval{50};
-constexpr Millis kMaxScheduleInterval{200};
-constexpr Millis kUpkeepInterval{250};
+constexpr Millis kMinSchedulingInterval{50};
+constexpr Millis kMaxSchedulingInterval{200};
+constexpr Millis kMaintenanceInterval{250};
 }  // namespace
 
 Controller::Controller(config::Config config, std::uint64_t seed, sansio::LogLevel level)
@@ -33,18 +33,18 @@
       writer_(context_, kv_client_, election_, state_, config_),
       worker_liveness_(context_, election_, config_),
       released_machines_(context_),
-      workers_(context_, election_, state_, worker_liveness_, released_machines_, config_,
-               [this](const workers::CompletedTask& task) {
-                   run_time_estimator_.learn(*task.job, task.ran_s);
-               }),
+      worker_manager_(context_, election_, state_, worker_liveness_, released_machines_, config_,
+                      [this](const workers::CompletedTask& task) {
+                          run_time_estimator_.learn(*task.job, task.ran_s);
+                      }),
       provisioner_(context_, election_, state_, worker_liveness_, released_machines_,
                    machine_types_, run_time_estimator_, config_),
       scheduler_(context_, state_, worker_liveness_, run_time_estimator_, config_),
-      jobs_(
+      job_service_(
           context_, kv_client_, config_, machine_types_.all(),
           [this](const JobId& job) { return peer_heartbeat_builder_.progress(job); },
-          [this](const JobId& job, std::function<void()> then) {
-              cancellation_broadcast_.broadcast(job, std::move(then));
+          [this](const JobId& job, std::function<void()> on_completed) {
+              cancellation_broadcast_.notify_leader(job, std::move(on_completed));
           }),
       leadership_guard_(context_, config_, kv_client_, election_, peer_monitor_, state_),
       heartbeat_relay_(context_, config_, kv_client_, election_, peer_monitor_) {}
@@ -52,27 +52,28 @@
 sansio::Effects Controller::apply(std::vector<Command>&& batch, Instant now, std::int64_t wall_ms) {
     context_.advance_clock(now, wall_ms);
     context_.clear_wake_time();
-    if (leadership_guard_.suspend_leadership_after_stall(last_apply_)) handle_leadership_change();
-    last_apply_ = now;
+    if (leadership_guard_.suspend_leadership_after_stall(last_apply_at_))
+        handle_leadership_change();
+    last_apply_at_ = now;
     sort_by_priority(batch);
     for (auto& command : batch) handle(std::move(command));
     context_.run_timers();
     update_election();
     handle_leadership_change();
     provisioner_.tick_machine_types();
-    const bool upkeep = upkeep_due();
-    if (upkeep && election_.is_leader()) leadership_guard_.suspend_leadership_if_isolated();
-    if (upkeep && is_active_leader()) leadership_guard_.resign_if_no_worker_heartbeats();
-    if (is_active_leader()) run_leader_tasks(upkeep);
-    jobs_.tick();
+    const bool maintenance = maintenance_due();
+    if (maintenance && election_.is_leader()) leadership_guard_.suspend_leadership_if_isolated();
+    if (maintenance && is_active_leader()) leadership_guard_.resign_if_no_worker_heartbeats();
+    if (is_active_leader()) run_leader_tasks(maintenance);
+    job_service_.tick();
     peer_monitor_.send_due_heartbeats();
     context_.request_wake(now + kMaxStepInterval);
     return context_.take();
 }
 
-bool Controller::upkeep_due() {
-    if (context_.now() < next_upkeep_) return false;
-    next_upkeep_ = context_.now() + kUpkeepInterval;
+bool Controller::maintenance_due() {
+    if (context_.now() < next_maintenance_at_) return false;
+    next_maintenance_at_ = context_.now() + kMaintenanceInterval;
     return true;
 }
 
@@ -89,15 +90,15 @@
 }
 
 void Controller::handle_request(RequestId id, const SubmitJob& request) {
-    jobs_.submit(id, request.body);
+    job_service_.submit(id, request.body);
 }
 
 void Controller::handle_request(RequestId id, const PollJob& request) {
-    jobs_.poll(id, request.job);
+    job_service_.poll(id, request.job);
 }
 
 void Controller::handle_request(RequestId id, const CancelJob& request) {
-    jobs_.cancel(id, request.job);
+    job_service_.cancel(id, request.job);
 }
 
 void Controller::handle_request(RequestId id, const sansio::Refusal& refusal) {
@@ -126,7 +127,7 @@
     const auto heartbeat = wire::decode_worker_heartbeat(body);
     // The response renews the worker's lease.
     if (leadership_guard_.may_renew_leases(follower_.terminal_records_read_at())) {
-        workers_.handle_heartbeat(id, heartbeat);
+        worker_manager_.handle_heartbeat(id, heartbeat);
     } else {
         context_.refuse(id, RefusalReason::cancellations_unknown);
     }
@@ -174,7 +175,7 @@
 
 void Controller::handle_leadership_change() {
     const bool is_leader = election_.is_leader();
-    if (is_leader && (!was_leader_ || generation_ != election_.generation())) {
+    if (is_leader && (!was_leader_ || started_generation_ != election_.generation())) {
         begin_term();
     } else if (!is_leader && was_leader_) {
         end_term();
@@ -183,9 +184,9 @@
 }
 
 void Controller::begin_term() {
-    generation_ = election_.generation();
+    started_generation_ = election_.generation();
     released_machines_.clear();
-    workers_.reset();
+    worker_manager_.reset();
     provisioner_.reset();
     writer_.reset();
     loader_.load();
@@ -201,33 +202,34 @@
 // Adds what this node knows besides the records: cancellations that were reported before the
 // cluster state was loaded, and the previous leader's faulty jobs.
 void Controller::complete_failover() {
-    if (failover_completed_ == generation_) return;
-    failover_completed_ = generation_;
+    if (completed_failover_generation_ == started_generation_) return;
+    completed_failover_generation_ = started_generation_;
     cancellation_broadcast_.apply_log();
     peer_heartbeat_builder_.restore_faulty_jobs();
 }
 
 // ---- the leader's work ----
 
-void Controller::run_leader_tasks(bool upkeep) {
+void Controller::run_leader_tasks(bool maintenance) {
     complete_failover();
-    if (upkeep) state_.adopt_format(peer_heartbeat_builder_.common_record_format());
+    if (maintenance) state_.adopt_format(peer_heartbeat_builder_.common_record_format());
     provisioner_.tick();
     schedule_if_due();
-    workers_.tick();
-    if (upkeep) state_.forget_terminal_jobs();
+    worker_manager_.tick();
+    if (maintenance) state_.forget_terminal_jobs();
     writer_.flush();
 }
 
 void Controller::schedule_if_due() {
-    if (context_.now() < next_schedule_) {
-        context_.request_wake(next_schedule_);
+    if (context_.now() < next_scheduling_at_) {
+        context_.request_wake(next_scheduling_at_);
         return;
     }
     // Where very many jobs wait, machines are full and passes are long: they may be fewer.
     const auto pending_jobs = static_cast<std::int64_t>(scheduler_.run());
-    next_schedule_ = context_.now() + std::clamp(Millis(pending_jobs / 2), kMinScheduleInterval,
-                                                 kMaxScheduleInterval);
+    next_scheduling_at_ =
+        context_.now() +
+        std::clamp(Millis(pending_jobs / 2), kMinSchedulingInterval, kMaxSchedulingInterval);
 }
 
 }  // namespace dunebridge::controller
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -75,9 +75,9 @@
     void complete_failover();
 
     // The leader's work.
-    void run_leader_tasks(bool upkeep);
+    void run_leader_tasks(bool maintenance);
     void schedule_if_due();
-    bool upkeep_due();
+    bool maintenance_due();
 
     const config::Config config_;
     sansio::Context context_;
@@ -95,20 +95,20 @@
     state::RunTimeEstimator run_time_estimator_;
     state::WorkerLiveness worker_liveness_;
     state::ReleasedMachines released_machines_;
-    workers::WorkerManager workers_;
+    workers::WorkerManager worker_manager_;
     provisioning::Provisioner provisioner_;
     scheduler::Scheduler scheduler_;
-    api::JobService jobs_;
+    api::JobService job_service_;
     LeadershipGuard leadership_guard_;
     HeartbeatRelay heartbeat_relay_;
     /// The election's generation whose cluster state was last loaded.
-    std::uint64_t generation_ = 0;
+    std::uint64_t started_generation_ = 0;
     /// The generation whose cluster state was last completed with what this node knew besides.
-    std::uint64_t failover_completed_ = 0;
+    std::uint64_t completed_failover_generation_ = 0;
     bool was_leader_ = false;  ///< As of the last handle_leadership_change().
-    Instant last_apply_{};
-    Instant next_schedule_{};
-    Instant next_upkeep_{};
+    Instant last_apply_at_{};
+    Instant next_scheduling_at_{};
+    Instant next_maintenance_at_{};
 };
 
 }  // namespace dunebridge::controller
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -7,9 +7,9 @@
 using sansio::RefusalReason;
 
 namespace {
-constexpr Millis kForgetInterval{5000};
+constexpr Millis kPruneInterval{5000};
 // A worker that comes back within this time of its first redirection is relayed.
-constexpr Millis kRelayDuration{30000};
+constexpr Millis kRelayWindow{30000};
 constexpr Millis kRelayTimeout{2500};
 constexpr int kMisdirectedRequest = 421;
 }  // namespace
@@ -26,10 +26,11 @@
 
 void HeartbeatRelay::handle(RequestId id, const std::string& body, wire::Value heartbeat) {
     const auto leader = known_leader();
-    const bool should_relay = !leader.get().empty() &&
-                              redirected_recently(MachineName(heartbeat["host"].need_text("host")));
+    const bool should_relay =
+        !leader.get().empty() &&
+        check_and_record_redirect(MachineName(heartbeat["host"].need_text("host")));
     const auto peer = std::find_if(config_.peers.begin(), config_.peers.end(),
-                                   [&](const auto& known) { return known.name == leader; });
+                                   [&](const auto& address) { return address.name == leader; });
     if (should_relay && peer != config_.peers.end()) {
         relay(id, body, *peer);
     } else {
@@ -54,11 +55,11 @@
     }
 }
 
-bool HeartbeatRelay::redirected_recently(const MachineName& host) {
-    if (context_.now() >= next_forget_) {
-        next_forget_ = context_.now() + kForgetInterval;
+bool HeartbeatRelay::check_and_record_redirect(const MachineName& host) {
+    if (context_.now() >= next_prune_at_) {
+        next_prune_at_ = context_.now() + kPruneInterval;
         std::erase_if(first_redirected_at_, [&](const auto& entry) {
-            return context_.now() - entry.second > kRelayDuration;
+            return context_.now() - entry.second > kRelayWindow;
         });
     }
     return !first_redirected_at_.try_emplace(host, context_.now()).second;
--- a/src/controller/heartbeat_relay.hpp
+++ b/src/controller/heartbeat_relay.hpp
@@ -28,7 +28,7 @@
 
   private:
     ControllerName known_leader() const;
-    bool redirected_recently(const MachineName& host);
+    bool check_and_record_redirect(const MachineName& host);
     void redirect(RequestId id, const ControllerName& leader);
     void relay(RequestId id, const std::string& body, const config::PeerAddress& leader);
 
@@ -37,9 +37,9 @@
     const kv::KvClient& kv_client_;
     const coordination::Election& election_;
     const coordination::PeerMonitor& peer_monitor_;
-    /// When each worker was first redirected, for kRelayDuration.
+    /// When each worker was first redirected, for kRelayWindow.
     std::map<MachineName, Instant> first_redirected_at_;
-    Instant next_forget_{};
+    Instant next_prune_at_{};
 };
 
 }  // namespace dunebridge::controller
--- a/src/controller/leadership_guard.cpp
+++ b/src/controller/leadership_guard.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 // After so many intervals without any worker's heartbeat a leader counts as unreachable.
-constexpr int kMissedHeartbeats = 5;
+constexpr int kMaxMissedHeartbeats = 5;
 // For how long it then leaves the leadership to the others.
-constexpr Millis kResignFor{20000};
-constexpr int kIsolatedPercent = 35;  // of a worker's lease
+constexpr Millis kResignCooldown{20000};
+constexpr int kIsolationLimitPercent = 35;  // of a worker's lease
 }  // namespace
 
 LeadershipGuard::LeadershipGuard(sansio::Context& context, const config::Config& config,
@@ -29,9 +29,9 @@
                  to_seconds(config_.cancellation_deadline), to_seconds(config_.worker_lease));
 }
 
-bool LeadershipGuard::suspend_leadership_after_stall(Instant last_run) {
+bool LeadershipGuard::suspend_leadership_after_stall(Instant last_apply_at) {
     const bool stalled =
-        last_run != Instant{} && context_.now() - last_run >= config_.tuning.leader_lease;
+        last_apply_at != Instant{} && context_.now() - last_apply_at >= config_.tuning.leader_lease;
     if (stalled) election_.suspend_leadership(coordination::StepDownReason::event_loop_stall);
     return stalled;
 }
@@ -42,7 +42,7 @@
     if (config_.peers.empty() || kv_client_.reachable()) return;
     const auto isolated_for =
         std::min(kv_client_.time_since_response(), context_.now() - peer_monitor_.last_heard());
-    const auto limit = config_.worker_lease * kIsolatedPercent / 100;
+    const auto limit = config_.worker_lease * kIsolationLimitPercent / 100;
     if (isolated_for < std::max(config_.tuning.leader_lease, limit)) return;
     context_.log(sansio::LogLevel::info, "event=leader_isolated term={}", election_.term().get());
     election_.suspend_leadership(coordination::StepDownReason::isolated);
@@ -57,10 +57,11 @@
         last_heartbeat_at = std::max(last_heartbeat_at, machine.worker.last_heartbeat_at);
     }
     if (last_heartbeat_at == Instant{}) return;
-    if (context_.now() - last_heartbeat_at < config_.heartbeat_interval * kMissedHeartbeats) return;
+    if (context_.now() - last_heartbeat_at < config_.heartbeat_interval * kMaxMissedHeartbeats)
+        return;
     context_.log(sansio::LogLevel::info, "event=no_worker_heartbeats term={}",
                  election_.term().get());
-    election_.resign(kResignFor);
+    election_.resign(kResignCooldown);
 }
 
 // docs/design.md, 'Cancellation': from the moment a user may have been shown a cancellation that
--- a/src/controller/leadership_guard.hpp
+++ b/src/controller/leadership_guard.hpp
@@ -24,7 +24,7 @@
     /// To be called before anything else of a step. Suspends leadership after a stall of the
     /// process of a leader's lease or more: another node may lead meanwhile, and no lease is taken
     /// to have expired before the key-value store has answered. Returns whether there was a stall.
-    bool suspend_leadership_after_stall(Instant last_run);
+    bool suspend_leadership_after_stall(Instant last_apply_at);
     /// Suspends the leadership of a node that reaches neither the key-value store nor a peer.
     void suspend_leadership_if_isolated();
     /// Resigns if no worker reaches this leader, directly or through its peers: another node may
--- a/src/controller/router.cpp
+++ b/src/controller/router.cpp
@@ -27,14 +27,14 @@
     const auto slash = rest.find('/');
     const auto id = rest.substr(0, slash);
     const bool has_suffix = slash != std::string_view::npos;
-    const bool cancels = has_suffix && rest.substr(slash) == kCancelSuffix;
-    if (has_suffix && !cancels) return refused(RefusalReason::no_such_path);
-    if (request.method != (cancels ? kPost : kGet))
+    const bool is_cancellation = has_suffix && rest.substr(slash) == kCancelSuffix;
+    if (has_suffix && !is_cancellation) return refused(RefusalReason::no_such_path);
+    if (request.method != (is_cancellation ? kPost : kGet))
         return refused(RefusalReason::method_not_allowed);
     JobId job{std::string(id)};
     // No job can have such an id.
     if (!wire::valid_job_id(job.get())) return refused(RefusalReason::no_such_job);
-    if (cancels) return CancelJob{std::move(job)};
+    if (is_cancellation) return CancelJob{std::move(job)};
     return PollJob{std::move(job)};
 }
 
--- a/src/coordination/cancellation_log.cpp
+++ b/src/coordination/cancellation_log.cpp
@@ -6,7 +6,7 @@
 // Bounds the size of a heartbeat. A peer that misses what is dropped for this limit finds a gap in
 // the numbers, and must read the key-value store.
 constexpr std::size_t kMaxRetained = 400;
-constexpr Millis kForgetInterval{5000};
+constexpr Millis kPruneInterval{5000};
 }  // namespace
 
 CancellationLog::CancellationLog(sansio::Context& context, const config::Config& config)
@@ -15,9 +15,9 @@
 }
 
 bool CancellationLog::append(const JobId& id) {
-    if (!known_.try_emplace(id, context_.now()).second) return false;
+    if (!first_seen_at_.try_emplace(id, context_.now()).second) return false;
     segment_.jobs.push_back(id);
-    learnt_at_.push_back(context_.now());
+    appended_at_.push_back(context_.now());
     return true;
 }
 
@@ -26,25 +26,26 @@
     const auto retention = config_.cancellation_deadline * 3 / 2;
     const auto size = segment_.jobs.size();
     std::size_t dropped = size > kMaxRetained ? size - kMaxRetained : 0;
-    while (dropped < size && context_.now() - learnt_at_[dropped] > retention) ++dropped;
-    drop_first(dropped);
-    if (context_.now() >= next_forget_at_) {
-        next_forget_at_ = context_.now() + kForgetInterval;
-        forget_old_ids(2 * retention);
+    while (dropped < size && context_.now() - appended_at_[dropped] > retention) ++dropped;
+    drop_oldest(dropped);
+    if (context_.now() >= next_prune_at_) {
+        next_prune_at_ = context_.now() + kPruneInterval;
+        prune_seen_ids(2 * retention);
     }
     return segment_;
 }
 
-void CancellationLog::drop_first(std::size_t count) {
+void CancellationLog::drop_oldest(std::size_t count) {
     const auto end = static_cast<std::ptrdiff_t>(count);
     segment_.jobs.erase(segment_.jobs.begin(), segment_.jobs.begin() + end);
-    learnt_at_.erase(learnt_at_.begin(), learnt_at_.begin() + end);
+    appended_at_.erase(appended_at_.begin(), appended_at_.begin() + end);
     segment_.first_sequence += count;
 }
 
-void CancellationLog::forget_old_ids(Millis age) {
-    std::erase_if(
-        known_, [&](const auto& id_and_time) { return context_.now() - id_and_time.second > age; });
+void CancellationLog::prune_seen_ids(Millis age) {
+    std::erase_if(first_seen_at_, [&](const auto& id_and_time) {
+        return context_.now() - id_and_time.second > age;
+    });
 }
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/cancellation_log.hpp
+++ b/src/coordination/cancellation_log.hpp
@@ -43,18 +43,18 @@
     const CancellationLogSegment& retained();
 
   private:
-    void drop_first(std::size_t count);
-    void forget_old_ids(Millis age);
+    void drop_oldest(std::size_t count);
+    void prune_seen_ids(Millis age);
 
     sansio::Context& context_;
     const config::Config& config_;
     CancellationLogSegment segment_;
-    std::deque<Instant> learnt_at_;  ///< Of each job in the segment.
+    std::deque<Instant> appended_at_;  ///< Of each job in the segment.
     /// When each cancellation was learnt. Kept for longer than the log, as peers' logs drop theirs
     /// later: one that was forgotten too early would count as new again here, and then there, for
     /// ever.
-    std::map<JobId, Instant> known_;
-    Instant next_forget_at_{};
+    std::map<JobId, Instant> first_seen_at_;
+    Instant next_prune_at_{};
 };
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kRequestTimeout{2500};  // the store may be slow without being down
 constexpr Millis kResignTimeout{1500};
 
-const char* name_of(StepDownReason reason) {
+const char* describe(StepDownReason reason) {
     switch (reason) {
         case StepDownReason::other_leader:
             return "another node leads";
@@ -44,39 +44,39 @@
       lease_(context, kv_client, config, [this] { handle_lease_expiry(); }) {}
 
 void Election::poll() {
-    poll_observation();
+    poll_leader_key();
     poll_campaign();
     // A lease to which no key is bound is left to expire by itself.
-    if (!leader_ && !campaigning_ && !new_term_required_) lease_.abandon();
+    if (!is_leader_ && !campaigning_ && !new_term_required_) lease_.abandon();
     lease_.renew_if_due();
 }
 
 // ---- observation of the leader key ----
 
-void Election::poll_observation() {
-    if (observed_) {
-        if (!watching_) watch_leader_key();
+void Election::poll_leader_key() {
+    if (leader_key_current_) {
+        if (!watch_in_flight_) watch_leader_key();
         return;
     }
-    if (!reading_ && context_.now() >= next_read_) read_leader_key();
-    if (!reading_) context_.request_wake(next_read_);
+    if (!read_in_flight_ && context_.now() >= next_read_at_) read_leader_key();
+    if (!read_in_flight_) context_.request_wake(next_read_at_);
 }
 
-void Election::observe_again(Instant at) {
-    observed_ = false;
-    next_read_ = at;
+void Election::schedule_leader_key_read(Instant at) {
+    leader_key_current_ = false;
+    next_read_at_ = at;
 }
 
 void Election::read_leader_key() {
-    reading_ = true;
+    read_in_flight_ = true;
     // A listing gives the revision from which a watch misses nothing.
     kv_client_.list(kLeaderKey, [this](const kv::ListResult& result) {
-        reading_ = false;
+        read_in_flight_ = false;
         if (!result.available) {
-            next_read_ = next_retry();
+            next_read_at_ = next_retry_at();
             return;
         }
-        observed_ = true;
+        leader_key_current_ = true;
         watch_from_ = result.rev;
         bool found = false;
         for (const auto& entry : result.entries) {
@@ -89,16 +89,16 @@
 }
 
 void Election::watch_leader_key() {
-    watching_ = true;
+    watch_in_flight_ = true;
     kv_client_.watch(kLeaderKey, watch_from_, kWatchWait, [this](const kv::WatchResult& result) {
-        watching_ = false;
+        watch_in_flight_ = false;
         handle_watch_result(result);
     });
 }
 
 void Election::handle_watch_result(const kv::WatchResult& result) {
     if (result.kind != kv::WatchResult::Kind::changes) {
-        observe_again(context_.now() + context_.jitter(kRetryDelay));
+        schedule_leader_key_read(context_.now() + context_.jitter(kRetryDelay));
         return;
     }
     watch_from_ = result.rev;
@@ -114,7 +114,7 @@
 
 void Election::observe_leader_key(wire::Value value, KeyRevision rev) {
     // A read that was overtaken by this controller's own later write says nothing new.
-    if (leader_ && rev <= leader_key_revision_) return;
+    if (is_leader_ && rev <= own_key_revision_) return;
     const auto record = decode_leader_record(value);
     observed_revision_ = rev;
     observed_leader_ = record.node;
@@ -123,11 +123,11 @@
         return;
     }
     new_term_required_ = false;
-    if (leader_) step_down(StepDownReason::other_leader);
+    if (is_leader_) step_down(StepDownReason::other_leader);
 }
 
 void Election::observe_own_key(Term term, KeyRevision rev) {
-    if (rev != leader_key_revision_) {
+    if (rev != own_key_revision_) {
         // The response to the proposal was lost or is overtaken: the key is this incarnation's, so
         // no other controller can hold a later term while it stands at this revision.
         begin_term(term, rev);
@@ -144,50 +144,50 @@
     observed_revision_ = KeyRevision();
     observed_leader_ = ControllerName();
     new_term_required_ = false;
-    if (leader_) step_down(StepDownReason::key_removed);
-    next_campaign_ = context_.now() + context_.jitter(kMaxCampaignDelay);
+    if (is_leader_) step_down(StepDownReason::key_removed);
+    next_campaign_at_ = context_.now() + context_.jitter(kMaxCampaignDelay);
 }
 
 // ---- campaign ----
 
-bool Election::is_vacant() const {
-    return observed_ && observed_revision_ == KeyRevision() && !leader_ &&
+bool Election::leadership_is_vacant() const {
+    return leader_key_current_ && observed_revision_ == KeyRevision() && !is_leader_ &&
            context_.now() >= resigned_until_;
 }
 
 void Election::poll_campaign() {
     if (campaigning_) return;
-    const bool wanted = new_term_required_ || (is_vacant() && eligible_);
+    const bool wanted = new_term_required_ || (leadership_is_vacant() && eligible_);
     if (!wanted) return;
-    if (context_.now() >= next_campaign_) {
+    if (context_.now() >= next_campaign_at_) {
         campaign();
     } else {
-        context_.request_wake(next_campaign_);
+        context_.request_wake(next_campaign_at_);
     }
 }
 
 void Election::campaign() {
     campaigning_ = true;
-    const KeyRevision replaced = new_term_required_ ? leader_key_revision_ : KeyRevision();
+    const KeyRevision replaced = new_term_required_ ? own_key_revision_ : KeyRevision();
     lease_.acquire([this, replaced](bool acquired) {
         if (acquired) {
-            read_term(replaced);
+            read_stored_term(replaced);
         } else {
             finish_campaign();
         }
     });
 }
 
-Instant Election::next_retry() {
+Instant Election::next_retry_at() {
     return context_.now() + kRetryDelay + context_.jitter(kRetryDelay);
 }
 
 void Election::finish_campaign() {
     campaigning_ = false;
-    next_campaign_ = next_retry();
+    next_campaign_at_ = next_retry_at();
 }
 
-void Election::read_term(KeyRevision replaced) {
+void Election::read_stored_term(KeyRevision replaced) {
     kv_client_.get(kTermKey, kRequestTimeout, [this, replaced](const kv::GetResult& result) {
         if (!result.available) {
             finish_campaign();
@@ -219,16 +219,16 @@
     switch (result.outcome) {
         case TransactionOutcome::ok:
             // The watch may have shown the key before.
-            if (!leader_ || leader_key_revision_ != result.rev) begin_term(proposed, result.rev);
+            if (!is_leader_ || own_key_revision_ != result.rev) begin_term(proposed, result.rev);
             break;
         case TransactionOutcome::lease_expired:
             lease_.abandon();
-            next_campaign_ = context_.now();
+            next_campaign_at_ = context_.now();
             break;
         case TransactionOutcome::conflict:
         case TransactionOutcome::unknown:
             // Another controller's proposal may have won, or this one: the key says which.
-            observe_again(context_.now());
+            schedule_leader_key_read(context_.now());
             break;
         case TransactionOutcome::refused:
         case TransactionOutcome::malformed:
@@ -239,26 +239,26 @@
 // ---- leadership ----
 
 void Election::begin_term(Term term, KeyRevision rev) {
-    leader_key_revision_ = rev;
+    own_key_revision_ = rev;
     observed_revision_ = rev;
     observed_leader_ = config_.name;
     term_ = term;
     new_term_required_ = false;
-    leader_ = true;
+    is_leader_ = true;
     ++generation_;
     context_.log(LogLevel::info, "event=elected node={} term={}", config_.name.get(), term.get());
 }
 
 void Election::step_down(StepDownReason reason) {
     context_.log(LogLevel::info, "event=stepped_down node={} term={} why=\"{}\"",
-                 config_.name.get(), term_.get(), name_of(reason));
-    leader_ = false;
+                 config_.name.get(), term_.get(), describe(reason));
+    is_leader_ = false;
     new_term_required_ = false;
 }
 
 void Election::handle_lease_expiry() {
-    if (leader_) step_down(StepDownReason::lease_expired);
-    observe_again(context_.now());
+    if (is_leader_) step_down(StepDownReason::lease_expired);
+    schedule_leader_key_read(context_.now());
 }
 
 void Election::observe_newer_term(Term newer) {
@@ -266,27 +266,27 @@
 }
 
 void Election::suspend_leadership(StepDownReason reason) {
-    if (!leader_) return;
+    if (!is_leader_) return;
     step_down(reason);
-    observe_again(context_.now());
+    schedule_leader_key_read(context_.now());
 }
 
 void Election::resign(Millis cooldown) {
-    if (!leader_) return;
+    if (!is_leader_) return;
     const auto own_key = fencing_precondition();
     step_down(StepDownReason::resigned);
     resigned_until_ = context_.now() + cooldown;
     // This only speeds things up: without it the key goes when its lease expires.
     kv_client_.compare_and_swap(
         {own_key}, {{kLeaderKey, std::nullopt, std::nullopt}}, kResignTimeout,
-        [this](const kv::TransactionResult&) { observe_again(context_.now()); });
+        [this](const kv::TransactionResult&) { schedule_leader_key_read(context_.now()); });
 }
 
 void Election::require_new_term() {
-    if (!leader_) return;
+    if (!is_leader_) return;
     step_down(StepDownReason::unknown_outcome);
     new_term_required_ = true;
-    next_campaign_ = context_.now();
+    next_campaign_at_ = context_.now();
 }
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -43,7 +43,7 @@
     /// every turn of the event loop; requests to be run again when something will be due.
     void poll();
 
-    bool is_leader() const { return leader_; }
+    bool is_leader() const { return is_leader_; }
     /// The latest term in which this controller has led.
     Term term() const { return term_; }
     /// Leadership epoch of this process: grows each time it becomes the leader, also when it
@@ -51,7 +51,7 @@
     std::uint64_t generation() const { return generation_; }
     /// The precondition that fences off every earlier leader, this controller's earlier terms
     /// included. Part of every transaction on the cluster state.
-    wire::Precondition fencing_precondition() const { return {kLeaderKey, leader_key_revision_}; }
+    wire::Precondition fencing_precondition() const { return {kLeaderKey, own_key_revision_}; }
     /// The leader last seen in the key-value store, empty if none.
     const ControllerName& observed_leader() const { return observed_leader_; }
 
@@ -77,7 +77,7 @@
         KeyRevision rev;  ///< 0: there has not been a term.
     };
 
-    void poll_observation();
+    void poll_leader_key();
     void read_leader_key();
     void watch_leader_key();
     void handle_watch_result(const kv::WatchResult& result);
@@ -85,18 +85,18 @@
     void observe_own_key(Term term, KeyRevision rev);
     void observe_no_leader();
     /// The leader key is to be read again, not before `at`.
-    void observe_again(Instant at);
+    void schedule_leader_key_read(Instant at);
 
     void poll_campaign();
-    bool is_vacant() const;
+    bool leadership_is_vacant() const;
     void campaign();
     void finish_campaign();
-    void read_term(KeyRevision replaced);
+    void read_stored_term(KeyRevision replaced);
     /// Tries to write the leader key for the next term. `replaced` is the revision of this
     /// controller's own key that it takes the place of; 0: there must not be a key.
     void propose(const StoredTerm& last, KeyRevision replaced);
     void handle_proposal_result(Term proposed, const kv::TransactionResult& result);
-    Instant next_retry();
+    Instant next_retry_at();
 
     void handle_lease_expiry();
     void begin_term(Term term, KeyRevision rev);
@@ -108,23 +108,24 @@
     std::string incarnation_;  ///< See LeaderRecord.
     LeaderLease lease_;
 
-    bool leader_ = false;
+    bool is_leader_ = false;
     bool eligible_ = true;
     std::uint64_t generation_ = 0;
     Term term_;
-    KeyRevision leader_key_revision_;  ///< Of the leader key as this controller last wrote it.
+    KeyRevision own_key_revision_;  ///< Of the leader key as this controller last wrote it.
 
     ControllerName observed_leader_;
     KeyRevision observed_revision_;  ///< Of the leader key as last seen; 0: there is none.
-    bool observed_ = false;          ///< The leader key has been read, and no change missed since.
-    bool reading_ = false;
-    bool watching_ = false;
+    bool leader_key_current_ =
+        false;  ///< The leader key has been read, and no change missed since.
+    bool read_in_flight_ = false;
+    bool watch_in_flight_ = false;
     KeyRevision watch_from_;
-    Instant next_read_{};
+    Instant next_read_at_{};
 
     bool campaigning_ = false;
     bool new_term_required_ = false;  ///< A campaign over this controller's own key is wanted.
-    Instant next_campaign_{};
+    Instant next_campaign_at_{};
     Instant resigned_until_{};
 };
 
--- a/src/coordination/leader_lease.cpp
+++ b/src/coordination/leader_lease.cpp
@@ -28,26 +28,26 @@
                                           std::optional<LeaseId> created) {
         if (created) {
             id_ = created;
-            next_renewal_ = context_.now() + duration / kRenewalsPerLease;
+            next_renewal_at_ = context_.now() + duration / kRenewalsPerLease;
         }
         on_acquired(created.has_value());
     });
 }
 
 void LeaderLease::renew_if_due() {
-    if (!id_ || renewing_) return;
-    if (context_.now() >= next_renewal_) {
+    if (!id_ || renewal_in_flight_) return;
+    if (context_.now() >= next_renewal_at_) {
         renew();
     } else {
-        context_.request_wake(next_renewal_);
+        context_.request_wake(next_renewal_at_);
     }
 }
 
 void LeaderLease::renew() {
-    renewing_ = true;
+    renewal_in_flight_ = true;
     const auto lease = *id_;
     kv_client_.renew_lease(lease, [this, lease](kv::LeaseRenewal renewal) {
-        renewing_ = false;
+        renewal_in_flight_ = false;
         handle_renewal(lease, renewal);
     });
 }
@@ -55,7 +55,7 @@
 void LeaderLease::handle_renewal(LeaseId renewed, kv::LeaseRenewal renewal) {
     const bool success = renewal == kv::LeaseRenewal::renewed;
     const int attempts_per_lease = success ? kRenewalsPerLease : kRetriesPerLease;
-    next_renewal_ = context_.now() + config_.tuning.leader_lease / attempts_per_lease;
+    next_renewal_at_ = context_.now() + config_.tuning.leader_lease / attempts_per_lease;
     if (renewal != kv::LeaseRenewal::expired) return;
     if (id_ == renewed) abandon();
     on_expired_();
--- a/src/coordination/leader_lease.hpp
+++ b/src/coordination/leader_lease.hpp
@@ -43,8 +43,8 @@
     const config::Config& config_;
     OnExpired on_expired_;
     std::optional<LeaseId> id_;
-    bool renewing_ = false;
-    Instant next_renewal_{};
+    bool renewal_in_flight_ = false;
+    Instant next_renewal_at_{};
 };
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/peer_heartbeat.cpp
+++ b/src/coordination/peer_heartbeat.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr std::uint64_t kVersion = 1;
+constexpr std::uint64_t kMessageVersion = 1;
 // Limits that keep a heartbeat small, whatever the state of the sender.
-constexpr std::size_t kMaxProgress = 400;
+constexpr std::size_t kMaxProgressEntries = 400;
 constexpr std::size_t kMaxCancellations = 2000;
 constexpr std::size_t kMaxFaultyJobs = 200;
 constexpr std::size_t kMandatoryFields = 10;
 
 void encode_progress(wire::Writer& writer, const std::vector<JobProgress>& progress) {
-    const auto count = std::min(progress.size(), kMaxProgress);
+    const auto count = std::min(progress.size(), kMaxProgressEntries);
     writer.text("jobs").list(count);
     for (std::size_t i = 0; i < count; ++i) {
         const auto& job = progress[i];
@@ -25,7 +25,7 @@
 
 std::vector<JobProgress> decode_progress(wire::Value jobs) {
     std::vector<JobProgress> progress;
-    for (std::size_t i = 0; i < std::min(jobs.size(), kMaxProgress); ++i) {
+    for (std::size_t i = 0; i < std::min(jobs.size(), kMaxProgressEntries); ++i) {
         const auto job = jobs.at(i);
         if (job.size() != 3) throw wire::DecodeError("jobs");
         progress.push_back({JobId(job.at(0).need_text("job")), job.at(1).need_count("done"),
@@ -54,7 +54,7 @@
     wire::Writer writer;
     const auto faulty = std::min(heartbeat.faulty_jobs.size(), kMaxFaultyJobs);
     writer.map(kMandatoryFields + (faulty > 0 ? 1 : 0));
-    writer.text("v").count(kVersion);
+    writer.text("v").count(kMessageVersion);
     writer.text("node").text(heartbeat.node.get());
     writer.text("term").count(heartbeat.term.get());
     writer.text("leads").boolean(heartbeat.is_active_leader);
@@ -72,7 +72,7 @@
 }
 
 PeerHeartbeat decode_peer_heartbeat(wire::Value body) {
-    if (body["v"].need_count("v") != kVersion) {
+    if (body["v"].need_count("v") != kMessageVersion) {
         throw wire::DecodeError(wire::DecodeProblem::unknown_version);
     }
     PeerHeartbeat heartbeat;
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -27,31 +27,32 @@
         const auto heartbeat = encode(heartbeat_source_());
         for (const auto& peer : config_.peers) {
             auto& status = peers_[peer.name];
-            if (status.in_flight) continue;
-            status.in_flight = true;
-            send(peer, heartbeat, kHeartbeatTimeout, [&status] { status.in_flight = false; });
+            if (status.heartbeat_in_flight) continue;
+            status.heartbeat_in_flight = true;
+            send(peer, heartbeat, kHeartbeatTimeout,
+                 [&status] { status.heartbeat_in_flight = false; });
         }
     }
     context_.request_wake(next_send_at_);
 }
 
-void PeerMonitor::send_heartbeat(const ControllerName& peer, OnSent on_sent) {
+void PeerMonitor::send_heartbeat(const ControllerName& peer, OnCompleted on_completed) {
     const auto it = std::find_if(config_.peers.begin(), config_.peers.end(),
                                  [&](const auto& address) { return address.name == peer; });
     if (it == config_.peers.end()) {
-        on_sent();
+        on_completed();
         return;
     }
-    send(*it, encode(heartbeat_source_()), kImmediateTimeout, std::move(on_sent));
+    send(*it, encode(heartbeat_source_()), kImmediateTimeout, std::move(on_completed));
 }
 
 void PeerMonitor::send(const config::PeerAddress& peer, const std::string& heartbeat,
-                       Millis timeout, OnSent on_sent) {
+                       Millis timeout, OnCompleted on_completed) {
     context_.call(sansio::Destination::peer, peer.back, "POST", "/hello", heartbeat, timeout,
                   [this, name = peer.name, requested_at = context_.now(),
-                   on_sent = std::move(on_sent)](const sansio::HttpResult& response) {
+                   on_completed = std::move(on_completed)](const sansio::HttpResult& response) {
                       if (response.ok()) handle_response(name, response, requested_at);
-                      on_sent();
+                      on_completed();
                   });
 }
 
@@ -61,8 +62,8 @@
         const auto document = wire::Document::need(response.body);
         const auto heartbeat = decode_peer_heartbeat(document.root());
         if (heartbeat.node == peer) {
-            peers_[peer].cancellation_log.record_response(heartbeat.cancellations, requested_at,
-                                                          context_.now());
+            peers_[peer].cancellation_log_tracker.record_response(heartbeat.cancellations,
+                                                                  requested_at, context_.now());
         }
         record_heartbeat(heartbeat);
     } catch (const wire::DecodeError& error) {
@@ -78,11 +79,11 @@
     for (const auto& id : heartbeat.cancellations.jobs) on_cancellation_(id);
     auto& status = it->second;
     // Terms only grow: a heartbeat with an older one was overtaken on the way.
-    if (status.known && heartbeat.term < status.heartbeat.term) return;
+    if (status.has_heartbeat && heartbeat.term < status.heartbeat.term) return;
     status.heartbeat = heartbeat;
     status.heartbeat.cancellations.jobs.clear();
-    status.known = true;
-    status.heard_at = context_.now();
+    status.has_heartbeat = true;
+    status.last_heard_at = context_.now();
     last_heard_at_ = context_.now();
     highest_term_ = std::max(highest_term_, heartbeat.term);
     const bool from_leader = heartbeat.is_active_leader && heartbeat.term == highest_term_;
@@ -99,7 +100,8 @@
 Instant PeerMonitor::cancellations_known_until(Instant terminal_records_read_at) const {
     auto until = context_.now();
     for (const auto& [name, status] : peers_) {
-        until = std::min(until, status.cancellation_log.complete_until(terminal_records_read_at));
+        until = std::min(until,
+                         status.cancellation_log_tracker.complete_until(terminal_records_read_at));
     }
     return until;
 }
--- a/src/coordination/peer_monitor.hpp
+++ b/src/coordination/peer_monitor.hpp
@@ -29,7 +29,7 @@
     /// Called for every committed cancellation in a peer's heartbeat, also for those known already.
     using OnCancellation = std::function<void(const JobId&)>;
     /// Called once, when the peer has responded or has not in time.
-    using OnSent = std::function<void()>;
+    using OnCompleted = std::function<void()>;
 
     /// Context and configuration must outlive the monitor.
     PeerMonitor(sansio::Context& context, const config::Config& config,
@@ -40,8 +40,8 @@
     void send_due_heartbeats();
     /// Makes the next send_due_heartbeats() send, as something changed that the peers should know.
     void broadcast_soon() { next_send_at_ = Instant{}; }
-    /// Sends a heartbeat to one peer at once. For an unknown peer `on_sent` is called at once.
-    void send_heartbeat(const ControllerName& peer, OnSent on_sent);
+    /// Sends a heartbeat to one peer at once. For an unknown peer `on_completed` is called at once.
+    void send_heartbeat(const ControllerName& peer, OnCompleted on_completed);
     /// Takes a peer's heartbeat, received as a request or a response. It may have been under way
     /// for long.
     void record_heartbeat(const PeerHeartbeat& heartbeat);
@@ -69,7 +69,7 @@
 
   private:
     void send(const config::PeerAddress& peer, const std::string& heartbeat, Millis timeout,
-              OnSent on_sent);
+              OnCompleted on_completed);
     void handle_response(const ControllerName& peer, const sansio::HttpResult& response,
                          Instant requested_at);
     void record_leader_report(PeerHeartbeat& heartbeat);
--- a/src/coordination/peer_status.hpp
+++ b/src/coordination/peer_status.hpp
@@ -11,7 +11,7 @@
 namespace dunebridge::coordination {
 
 /// Which of a peer's cancellations are known here.
-class CancellationLogReceipt {
+class CancellationLogTracker {
   public:
     /// Takes the log's segment from a peer's response to a request made at `requested_at`. Only a
     /// response shows how recent it is: it was written after the request. A peer that has been
@@ -24,21 +24,22 @@
     Instant complete_until(Instant terminal_records_read_at) const;
 
   private:
-    std::uint64_t incarnation_ = 0;  ///< Of the peer's process; 0: it has not responded.
-    std::uint64_t next_ = 0;         ///< Number of the first cancellation not received.
-    Instant complete_since_{};       ///< Since when the log has been received without a gap.
-    Instant acknowledged_at_{};      ///< When the latest request that got a response was made.
+    std::uint64_t incarnation_ = 0;    ///< Of the peer's process; 0: it has not responded.
+    std::uint64_t next_sequence_ = 0;  ///< Number of the first cancellation not received.
+    Instant complete_since_{};         ///< Since when the log has been received without a gap.
+    Instant acknowledged_until_{};     ///< When the latest request that got a response was made.
 };
 
 /// What is known of one peer from its heartbeats.
 struct PeerStatus {
-    bool known = false;  ///< Whether there has been a heartbeat.
-    Instant heard_at{};
+    bool has_heartbeat = false;  ///< Whether there has been a heartbeat.
+    Instant last_heard_at{};
     /// The latest one, without its cancellations, which the log takes, and without the progress
     /// and failing jobs of a leader, which PeerMonitor keeps.
     PeerHeartbeat heartbeat;
-    bool in_flight = false;  ///< Whether a periodic heartbeat to the peer has no response yet.
-    CancellationLogReceipt cancellation_log;
+    bool heartbeat_in_flight =
+        false;  ///< Whether a periodic heartbeat to the peer has no response yet.
+    CancellationLogTracker cancellation_log_tracker;
 
     /// Whether a heartbeat has come lately.
     bool recently_heard(Instant now) const;
