--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -6,11 +6,12 @@
 using sansio::LogLevel;
 
 namespace {
-// Retries are spread over as much again, so that the controllers do not collide.
+// A random delay of up to the same length is added, so that the controllers do not retry at the
+// same moment.
 constexpr Millis kRetryDelay{300};
 constexpr Millis kMaxCampaignDelay{60};
 constexpr Millis kWatchWait{8000};
-constexpr Millis kRequestTimeout{2500};  // the store may be slow without being down
+constexpr Millis kRequestTimeout{2500};  // a slow key-value store is not treated as down
 constexpr Millis kResignTimeout{1500};
 
 const char* describe(StepDownReason reason) {
@@ -18,7 +19,7 @@
         case StepDownReason::other_leader:
             return "another node leads";
         case StepDownReason::key_removed:
-            return "the leader key is gone";
+            return "the leader key was removed";
         case StepDownReason::lease_expired:
             return "the lease has expired";
         case StepDownReason::newer_term:
@@ -26,11 +27,11 @@
         case StepDownReason::event_loop_stall:
             return "the event loop stalled";
         case StepDownReason::isolated:
-            return "it is isolated";
+            return "neither the key-value store nor a peer responds";
         case StepDownReason::resigned:
-            return "it resigns";
+            return "it resigned";
         case StepDownReason::unknown_outcome:
-            return "a transaction's outcome is not known";
+            return "the outcome of a transaction is unknown";
     }
     return "";
 }
@@ -46,12 +47,12 @@
 void Election::poll() {
     poll_leader_key();
     poll_campaign();
-    // A lease to which no key is bound is left to expire by itself.
+    // No key is bound to the lease: it is not renewed any more and expires.
     if (!is_leader_ && !campaigning_ && !new_term_required_) lease_.abandon();
     lease_.renew_if_due();
 }
 
-// ---- observation of the leader key ----
+// ---- reading and watching the leader key ----
 
 void Election::poll_leader_key() {
     if (leader_key_current_) {
@@ -69,7 +70,7 @@
 
 void Election::read_leader_key() {
     read_in_flight_ = true;
-    // A listing gives the revision from which a watch misses nothing.
+    // A listing also returns the store's revision; a watch that starts there misses no change.
     kv_client_.list(kLeaderKey, [this](const kv::ListResult& result) {
         read_in_flight_ = false;
         if (!result.available) {
@@ -113,7 +114,7 @@
 }
 
 void Election::observe_leader_key(wire::Value value, KeyRevision rev) {
-    // A read that was overtaken by this controller's own later write says nothing new.
+    // Ignores a result that is older than this controller's own write of the key.
     if (is_leader_ && rev <= own_key_revision_) return;
     const auto record = decode_leader_record(value);
     observed_revision_ = rev;
@@ -128,15 +129,15 @@
 
 void Election::observe_own_key(Term term, KeyRevision rev) {
     if (rev != own_key_revision_) {
-        // The response to the proposal was lost or is overtaken: the key is this incarnation's, so
-        // no other controller can hold a later term while it stands at this revision.
+        // The response to the proposal was lost or has not arrived yet. This incarnation wrote the
+        // key, so no other controller can hold a later term while the key has this revision.
         begin_term(term, rev);
         return;
     }
-    // After a resignation the key goes with its lease.
+    // This controller resigned: the key is removed when its lease expires.
     if (context_.now() < resigned_until_) return;
-    // It stepped down while the key still stood: a request sent under this revision may still be
-    // under way, so this term must not be taken up again.
+    // This controller stepped down while the key still existed. A transaction with this revision as
+    // its precondition may still be in flight, so the term must not be resumed.
     new_term_required_ = true;
 }
 
@@ -218,7 +219,7 @@
     finish_campaign();
     switch (result.outcome) {
         case TransactionOutcome::ok:
-            // The watch may have shown the key before.
+            // The watch may have reported the new key already.
             if (!is_leader_ || own_key_revision_ != result.rev) begin_term(proposed, result.rev);
             break;
         case TransactionOutcome::lease_expired:
@@ -227,7 +228,8 @@
             break;
         case TransactionOutcome::conflict:
         case TransactionOutcome::unknown:
-            // Another controller's proposal may have won, or this one: the key says which.
+            // Either another controller's proposal has been applied or this one has. Reading the
+            // leader key tells which.
             schedule_leader_key_read(context_.now());
             break;
         case TransactionOutcome::refused:
@@ -276,7 +278,7 @@
     const auto own_key = fencing_precondition();
     step_down(StepDownReason::resigned);
     resigned_until_ = context_.now() + cooldown;
-    // This only speeds things up: without it the key goes when its lease expires.
+    // Removing the key only shortens the handover: otherwise it is removed when its lease expires.
     kv_client_.compare_and_swap(
         {own_key}, {{kLeaderKey, std::nullopt, std::nullopt}}, kResignTimeout,
         [this](const kv::TransactionResult&) { schedule_leader_key_read(context_.now()); });
