--- a/src/coordination/cancellation_log.cpp
+++ b/src/coordination/cancellation_log.cpp
@@ -3,15 +3,15 @@
 namespace dunebridge::coordination {
 
 namespace {
-// Bounds the size of a heartbeat. A peer that misses what is dropped for this limit finds a gap in
-// the numbers, and must read the key-value store.
+// Limits the size of a heartbeat. A peer that misses entries dropped because of this limit detects
+// a gap in the sequence numbers and must read the key-value store.
 constexpr std::size_t kMaxRetained = 400;
 constexpr Millis kPruneInterval{5000};
 }  // namespace
 
 CancellationLog::CancellationLog(sansio::Context& context, const config::Config& config)
     : context_(context), config_(config) {
-    segment_.incarnation = context.random() | 1u;  // never 0, which stands for no log
+    segment_.incarnation = context.random() | 1u;  // never 0, which means that there is no log
 }
 
 bool CancellationLog::append(const JobId& id) {
@@ -22,7 +22,8 @@
 }
 
 const CancellationLogSegment& CancellationLog::retained() {
-    // No leader can be held to a cancellation after the deadline; the rest is margin.
+    // After the cancellation deadline the tasks of the job must have stopped, and no leader needs
+    // the entry any more. The factor of 1.5 is a safety margin.
     const auto retention = config_.cancellation_deadline * 3 / 2;
     const auto size = segment_.jobs.size();
     std::size_t dropped = size > kMaxRetained ? size - kMaxRetained : 0;
--- a/src/coordination/cancellation_log.hpp
+++ b/src/coordination/cancellation_log.hpp
@@ -1,11 +1,11 @@
 /// \file
-/// Log of the cancellations that this controller knows to be committed and may show its users.
+/// Log of the committed cancellations that this controller knows of and may report to its users.
 ///
-/// A committed terminal record is true, whether the key-value store can be reached or not. Each
-/// controller numbers the cancellations that it learns of, in its log, before it shows them to
-/// anybody; its heartbeats to its peers carry the log's latest segment. So cancellations reach a
-/// leader that the key-value store does not serve, and a peer's heartbeat acknowledges that there
-/// are no others that the peer could have shown.
+/// A committed terminal record is final, so it stays valid while the key-value store is
+/// unreachable. Each controller appends every cancellation that it learns of to its log, with a
+/// sequence number, before it reports the cancellation to anyone. Its heartbeats to its peers carry
+/// the latest segment of the log. Cancellations therefore reach a leader that cannot reach the
+/// key-value store, and a peer's heartbeat also shows that the peer has reported no others.
 #pragma once
 
 #include <cstdint>
@@ -19,27 +19,28 @@
 
 namespace dunebridge::coordination {
 
-/// A contiguous part of a controller's log, up to its end.
+/// A contiguous part of a controller's log that extends to the end of the log.
 struct CancellationLogSegment {
-    std::uint64_t incarnation = 0;     ///< Of the process that keeps the log; 0: it keeps none.
-    std::uint64_t first_sequence = 1;  ///< Number of the first of `jobs`.
-    std::vector<JobId> jobs;  ///< The cancelled jobs, in the order in which they were learnt.
+    std::uint64_t incarnation = 0;     ///< Of the process that keeps the log; 0: no log.
+    std::uint64_t first_sequence = 1;  ///< Sequence number of the first of `jobs`.
+    std::vector<JobId> jobs;  ///< Cancelled jobs, in the order in which they were appended.
 
-    /// Number that the next cancellation will get.
+    /// Sequence number of the next cancellation to be appended.
     std::uint64_t next_sequence() const { return first_sequence + jobs.size(); }
 };
 
-/// The cancellations that this controller knows to be committed, numbered in the order in which it
-/// learnt of them.
+/// Committed cancellations that this controller knows of, numbered in the order in which it learned
+/// of them.
 class CancellationLog {
   public:
-    /// Context and configuration must outlive the log.
+    /// The context and the configuration must outlive the log.
     CancellationLog(sansio::Context& context, const config::Config& config);
 
-    /// Appends a committed cancellation. Returns false if it is in the log already, or has been.
+    /// Appends a committed cancellation. Returns false if the job is in the log already, or was
+    /// dropped from it recently.
     bool append(const JobId& id);
-    /// The part of the log that is kept, after those have been dropped that no leader can be held
-    /// to any more. Valid until the log changes.
+    /// Drops the entries that have expired or exceed the size limit, and returns the rest. An entry
+    /// expires after 1.5 cancellation deadlines. The reference is valid until the log changes.
     const CancellationLogSegment& retained();
 
   private:
@@ -49,10 +50,10 @@
     sansio::Context& context_;
     const config::Config& config_;
     CancellationLogSegment segment_;
-    std::deque<Instant> appended_at_;  ///< Of each job in the segment.
-    /// When each cancellation was learnt. Kept for longer than the log, as peers' logs drop theirs
-    /// later: one that was forgotten too early would count as new again here, and then there, for
-    /// ever.
+    std::deque<Instant> appended_at_;  ///< When each job in the segment was appended.
+    /// When each cancellation was first seen; used to ignore repeated ones. Kept for longer than
+    /// the log entries, because peers drop theirs later: if an id were removed too early, the entry
+    /// of a peer would be appended again here, then again at the peer, and so on for ever.
     std::map<JobId, Instant> first_seen_at_;
     Instant next_prune_at_{};
 };
--- a/src/coordination/leader_lease.cpp
+++ b/src/coordination/leader_lease.cpp
@@ -5,8 +5,8 @@
 namespace dunebridge::coordination {
 
 namespace {
-// Renewed three times in its duration, so that one lost request does not cost the leadership; soon
-// again after a renewal that failed.
+// The lease is renewed three times within its duration, so that the loss of one request does not
+// end the leadership. After a failed renewal the next attempt follows sooner.
 constexpr int kRenewalsPerLease = 3;
 constexpr int kRetriesPerLease = 10;
 }  // namespace
--- a/src/coordination/leader_lease.hpp
+++ b/src/coordination/leader_lease.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The lease to which a candidate or leader binds the leader key.
+/// Lease to which a candidate or leader binds the leader key.
 #pragma once
 
 #include <functional>
@@ -12,26 +12,28 @@
 
 namespace dunebridge::coordination {
 
-/// Creates the lease and renews it in time. The lease only makes a dead leader's key go away; that
-/// at most one leader can write rests on the revision of the leader key, see Election.
+/// Creates the lease and renews it before it expires. The lease only ensures that the key of a
+/// failed leader is removed. The revision of the leader key guarantees that at most one leader can
+/// write, see Election.
 class LeaderLease {
   public:
-    /// Called once, with whether there is a lease now.
+    /// Called once; the argument tells whether there is a lease now.
     using OnAcquired = std::function<void(bool)>;
-    /// Called when a renewal has found that the lease does not exist any more.
+    /// Called when an attempt to renew the lease has shown that it no longer exists.
     using OnExpired = std::function<void()>;
 
-    /// All but the callback must outlive the lease.
+    /// The context, the client and the configuration must outlive this object.
     LeaderLease(sansio::Context& context, kv::KvClient& kv_client, const config::Config& config,
                 OnExpired on_expired);
 
-    /// Creates a lease; an existing one is kept, and `on_acquired` is called at once.
+    /// Creates a lease. If there is one already, it is kept and `on_acquired` is called at once.
     void acquire(OnAcquired on_acquired);
-    /// Renews the lease if it is time, or requests to be run when it will be.
+    /// Renews the lease if a renewal is due; otherwise requests a wake-up for the next renewal.
+    /// Does nothing while there is no lease or a renewal is in flight.
     void renew_if_due();
-    /// Forgets the lease, which is then left to expire by itself.
+    /// Stops renewing the lease, which then expires.
     void abandon() { id_.reset(); }
-    /// Nothing while there is no lease.
+    /// The id of the lease; empty while there is none.
     std::optional<LeaseId> id() const { return id_; }
 
   private:
--- a/src/coordination/leader_record.hpp
+++ b/src/coordination/leader_record.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The value of the leader key, and the names of the keys that an election uses.
+/// Value of the leader key, and the names of the keys that the leader election uses.
 #pragma once
 
 #include <string>
@@ -9,22 +9,25 @@
 
 namespace dunebridge::coordination {
 
-/// Held by the leader, bound to its lease: it is removed when the leader stops renewing it.
+/// Key written by the leader and bound to its lease: it is removed when the lease is no longer
+/// renewed and expires.
 inline constexpr const char* kLeaderKey = "lead";
-/// The latest term. Not bound to a lease, so that terms only grow.
+/// Key of the latest term. It is not bound to a lease, so that terms never decrease.
 inline constexpr const char* kTermKey = "term";
 
-/// Who leads in which term, as the leader key says it.
+/// Contents of the leader key: the leader and its term.
 struct LeaderRecord {
     ControllerName node;
-    /// Identifies the process: a controller that has been restarted is another incarnation and must
-    /// not take its predecessor's key for its own.
+    /// Identifies the process. A restarted controller is a new incarnation and must not treat the
+    /// key that its previous process wrote as its own.
     std::string incarnation;
     Term term;
 };
 
+/// Returns the record encoded as the value of the leader key.
 std::string encode(const LeaderRecord& record);
-/// Missing fields are left empty; such a record is nobody's own.
+/// Decodes the value of the leader key. Missing fields are left empty; a record without an
+/// incarnation matches no process.
 LeaderRecord decode_leader_record(wire::Value value);
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/peer_heartbeat.cpp
+++ b/src/coordination/peer_heartbeat.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint64_t kMessageVersion = 1;
-// Limits that keep a heartbeat small, whatever the state of the sender.
+// Limits of the lists in a heartbeat, which bound its size whatever the state of the sender.
 constexpr std::size_t kMaxProgressEntries = 400;
 constexpr std::size_t kMaxCancellations = 2000;
 constexpr std::size_t kMaxFaultyJobs = 200;
@@ -36,7 +36,7 @@
 
 CancellationLogSegment decode_cancellations(wire::Value body) {
     CancellationLogSegment segment;
-    // A version without the log acknowledges nothing.
+    // Versions without the cancellation log do not send its fields; they acknowledge nothing.
     if (body["log"].is_null()) return segment;
     segment.incarnation = body["log"].need_count("log");
     segment.first_sequence = body["from"].need_count("from");
--- a/src/coordination/peer_heartbeat.hpp
+++ b/src/coordination/peer_heartbeat.hpp
@@ -1,8 +1,8 @@
 /// \file
-/// The heartbeat that controllers send each other, and its encoding.
+/// Heartbeat that controllers send to each other, and its encoding.
 ///
-/// Its layout is that of earlier versions, byte for byte (upgrade_test.cpp), as controllers of two
-/// versions run side by side during an upgrade; unknown fields are ignored.
+/// The encoding is byte for byte that of earlier versions (checked in upgrade_test.cpp), because
+/// controllers of two versions run side by side during an upgrade. Unknown fields are ignored.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,34 @@
 
 namespace dunebridge::coordination {
 
-/// How far a job is, by the leader's cluster state.
+/// Progress of a job according to the leader's cluster state.
 struct JobProgress {
     JobId id;
-    std::uint64_t done = 0;     ///< Tasks that are done.
-    std::uint64_t running = 0;  ///< Tasks that are running.
+    std::uint64_t done = 0;     ///< Number of tasks that are done.
+    std::uint64_t running = 0;  ///< Number of tasks that are running.
 };
 
-/// A controller's state, as it reports it to its peers. Not to be confused with a worker's
-/// heartbeat (wire::WorkerHeartbeat).
+/// State that a controller reports to its peers. Not to be confused with the heartbeat of a worker
+/// (wire::WorkerHeartbeat).
 struct PeerHeartbeat {
     ControllerName node;
-    Term term;  ///< A leader's own term; of others the highest that they heard of.
+    Term term;  ///< A leader's own term; otherwise the highest term that the sender has received.
+    /// Whether the sender is the leader and has loaded the cluster state.
     bool is_active_leader = false;
     bool kv_reachable = false;  ///< Whether the sender reaches the key-value store.
     CancellationLogSegment cancellations;
-    std::uint64_t format = 2;           ///< Newest record format that the sender knows.
-    std::vector<JobProgress> progress;  ///< Of a leader's jobs.
-    /// Jobs that the leader takes to fail on every machine. Absent on the wire if there are none.
+    std::uint64_t format = 2;           ///< Newest record format that the sender supports.
+    std::vector<JobProgress> progress;  ///< Of the leader's jobs; empty from others.
+    /// Jobs that, by the leader's judgement, fail on every machine. The field is left out of the
+    /// encoding if there are none.
     std::vector<JobId> faulty_jobs;
 };
 
-/// Leaves out what goes over the limits of a message.
+/// Returns the encoded heartbeat. Leaves out entries of `progress` and `faulty_jobs` that exceed
+/// the limits; `cancellations` is encoded as a whole.
 std::string encode(const PeerHeartbeat& heartbeat);
-/// Throws wire::DecodeError.
+/// Decodes a heartbeat. Throws wire::DecodeError if the version is unknown, a required field is
+/// missing or malformed, or there are too many cancellations.
 PeerHeartbeat decode_peer_heartbeat(wire::Value body);
 
 }  // namespace dunebridge::coordination
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr Millis kHeartbeatInterval{700};
 constexpr Millis kHeartbeatTimeout{1500};
-// Of a heartbeat that is sent at once: a user waits for it.
+// For a heartbeat that is sent at once. It is short because a user waits for the result.
 constexpr Millis kImmediateTimeout{400};
 }  // namespace
 
@@ -75,10 +75,11 @@
 void PeerMonitor::record_heartbeat(const PeerHeartbeat& heartbeat) {
     const auto it = peers_.find(heartbeat.node);
     if (it == peers_.end()) return;
-    // Committed cancellations are true however old the heartbeat is.
+    // A committed cancellation is final, so it is valid however old the heartbeat is.
     for (const auto& id : heartbeat.cancellations.jobs) on_cancellation_(id);
     auto& status = it->second;
-    // Terms only grow: a heartbeat with an older one was overtaken on the way.
+    // The term of a peer never decreases: a heartbeat with an older term was overtaken by a newer
+    // heartbeat.
     if (status.has_heartbeat && heartbeat.term < status.heartbeat.term) return;
     status.heartbeat = heartbeat;
     status.heartbeat.cancellations.jobs.clear();
--- a/src/coordination/peer_monitor.hpp
+++ b/src/coordination/peer_monitor.hpp
@@ -1,10 +1,10 @@
 /// \file
-/// Exchanges heartbeats with the other controllers: who leads, who reaches the key-value store, how
-/// far the leader's jobs are, and which cancellations are committed.
+/// Exchange of heartbeats with the other controllers: which one is the leader, which ones reach the
+/// key-value store, the progress of the leader's jobs, and the committed cancellations.
 ///
-/// All but the last is advice; safety never rests on it. A committed cancellation is true whoever
-/// reports it, and a response acknowledges all of the peer's cancellations up to the moment at
-/// which the request was made.
+/// Except for the cancellations, this information is only a hint on which safety never depends. A
+/// committed cancellation is valid whoever reports it. A response acknowledges all cancellations
+/// that the peer had reported to its users when the request was made.
 #pragma once
 
 #include <cstdint>
@@ -21,50 +21,54 @@
 
 namespace dunebridge::coordination {
 
-/// Exchanges heartbeats with all peers and keeps what they say.
+/// Exchanges heartbeats with all peers and keeps what they report.
 class PeerMonitor {
   public:
-    /// Called whenever a heartbeat is to be sent; returns this controller's state.
+    /// Called for each heartbeat to be sent; returns this controller's state.
     using HeartbeatSource = std::function<PeerHeartbeat()>;
-    /// Called for every committed cancellation in a peer's heartbeat, also for those known already.
+    /// Called for every committed cancellation in a peer's heartbeat, including known ones.
     using OnCancellation = std::function<void(const JobId&)>;
-    /// Called once, when the peer has responded or has not in time.
+    /// Called once, when the peer has responded or the request has failed or timed out.
     using OnCompleted = std::function<void()>;
 
-    /// Context and configuration must outlive the monitor.
+    /// The context and the configuration must outlive the monitor.
     PeerMonitor(sansio::Context& context, const config::Config& config,
                 HeartbeatSource heartbeat_source, OnCancellation on_cancellation);
 
-    /// Sends heartbeats to all peers if it is time; to be called at every turn of the event loop.
-    /// Requests to be run again when the next ones are due.
+    /// Sends heartbeats to all peers if they are due. A peer whose previous periodic heartbeat is
+    /// still in flight is skipped. Must be called in every iteration of the event loop. Requests a
+    /// wake-up for the next heartbeats.
     void send_due_heartbeats();
-    /// Makes the next send_due_heartbeats() send, as something changed that the peers should know.
+    /// Makes the next send_due_heartbeats() send heartbeats, because the state that they report has
+    /// changed.
     void broadcast_soon() { next_send_at_ = Instant{}; }
-    /// Sends a heartbeat to one peer at once. For an unknown peer `on_completed` is called at once.
+    /// Sends a heartbeat to one peer at once. For an unknown peer, `on_completed` is called at
+    /// once.
     void send_heartbeat(const ControllerName& peer, OnCompleted on_completed);
-    /// Takes a peer's heartbeat, received as a request or a response. It may have been under way
-    /// for long.
+    /// Records a peer's heartbeat, received as a request or a response. It may have been delayed by
+    /// the network for any time.
     void record_heartbeat(const PeerHeartbeat& heartbeat);
 
-    /// Until when this controller knows of every cancellation that a peer has shown its users, if
-    /// it read all terminal records from the key-value store at the given moment. The epoch while a
-    /// peer does not respond, or its log was missed in part since then.
+    /// Returns the latest moment for which this controller knows every cancellation that any peer
+    /// had reported to its users by then, given that it read all terminal records from the
+    /// key-value store at `terminal_records_read_at`. Returns the epoch if a peer has never
+    /// responded, or if part of a peer's log may have been missed since then.
     Instant cancellations_known_until(Instant terminal_records_read_at) const;
 
-    /// The peer that leads by the latest heartbeats, empty if none.
+    /// The peer that is the leader according to recent heartbeats; empty if there is none.
     ControllerName leader() const;
-    /// When the last heartbeat of any peer came.
+    /// When the latest heartbeat of any peer was received; the epoch if there was none.
     Instant last_heard() const { return last_heard_at_; }
-    /// The highest term in any heartbeat so far.
+    /// The highest term received in a heartbeat so far.
     Term highest_term() const { return highest_term_; }
-    /// Whether every peer has lately shown that it knows the record format. One that has not been
-    /// heard counts as an older version, which could not read the records.
+    /// Whether every peer has recently reported that it supports the record format. A peer without
+    /// a recent heartbeat counts as an older version that could not read the records.
     bool all_peers_support(std::uint64_t format) const;
-    /// Whether a peer has lately reported that it reaches the key-value store.
+    /// Whether any peer has recently reported that it reaches the key-value store.
     bool kv_reachable_by_a_peer() const;
-    /// Progress of the jobs, from the latest leader heard.
+    /// Progress of the jobs, from the latest heartbeat of a leader.
     const std::unordered_map<JobId, JobProgress>& progress() const { return progress_; }
-    /// Jobs that the latest leader heard takes to fail on every machine.
+    /// Jobs that fail on every machine, from the latest heartbeat of a leader.
     const std::vector<JobId>& faulty_jobs() const { return faulty_jobs_; }
 
   private:
--- a/src/coordination/peer_status.cpp
+++ b/src/coordination/peer_status.cpp
@@ -5,7 +5,7 @@
 namespace dunebridge::coordination {
 
 namespace {
-// More than three intervals of heartbeats.
+// More than three heartbeat intervals.
 constexpr Millis kRecentHeartbeatWindow{2500};
 }  // namespace
 
--- a/src/coordination/peer_status.hpp
+++ b/src/coordination/peer_status.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What this controller knows of one peer: its latest heartbeat, and how much of its cancellation
-/// log has been received.
+/// State kept for one peer: its latest heartbeat, and how much of its cancellation log has been
+/// received.
 #pragma once
 
 #include <cstdint>
@@ -10,38 +10,38 @@
 
 namespace dunebridge::coordination {
 
-/// Which of a peer's cancellations are known here.
+/// Tracks up to when this controller has received all entries of a peer's cancellation log.
 class CancellationLogTracker {
   public:
-    /// Takes the log's segment from a peer's response to a request made at `requested_at`. Only a
-    /// response shows how recent it is: it was written after the request. A peer that has been
-    /// restarted, or whose log has a gap, may have shown its users cancellations that are in no log
-    /// any more; only the key-value store has them.
+    /// Records the segment in a peer's response to a request made at `requested_at`. Only responses
+    /// count, because a response was certainly written after its request, while the age of a
+    /// heartbeat received as a request is unknown. If the peer has been restarted, or there is a
+    /// gap before the segment, the peer may have reported cancellations to its users that are no
+    /// longer in its log. These are only in the key-value store, so tracking starts anew at `now`.
     void record_response(const CancellationLogSegment& segment, Instant requested_at, Instant now);
-    /// Until when all cancellations that the peer has shown its users are known here, for a
-    /// controller that read all terminal records from the key-value store at
-    /// `terminal_records_read_at`; the epoch if that is not known.
+    /// Returns the latest moment for which all cancellations are known that the peer had reported
+    /// to its users by then, given that this controller read all terminal records from the
+    /// key-value store at `terminal_records_read_at`. Returns the epoch if there is no such moment.
     Instant complete_until(Instant terminal_records_read_at) const;
 
   private:
-    std::uint64_t incarnation_ = 0;    ///< Of the peer's process; 0: it has not responded.
-    std::uint64_t next_sequence_ = 0;  ///< Number of the first cancellation not received.
-    Instant complete_since_{};         ///< Since when the log has been received without a gap.
-    Instant acknowledged_until_{};     ///< When the latest request that got a response was made.
+    std::uint64_t incarnation_ = 0;    ///< Of the peer's process; 0: no response with a log yet.
+    std::uint64_t next_sequence_ = 0;  ///< Of the first cancellation not received.
+    Instant complete_since_{};         ///< When the current gapless part of the log began.
+    Instant acknowledged_until_{};     ///< When the latest answered request was sent.
 };
 
-/// What is known of one peer from its heartbeats.
+/// State of one peer, known from its heartbeats.
 struct PeerStatus {
-    bool has_heartbeat = false;  ///< Whether there has been a heartbeat.
+    bool has_heartbeat = false;  ///< Whether any heartbeat has been received.
     Instant last_heard_at{};
-    /// The latest one, without its cancellations, which the log takes, and without the progress
-    /// and failing jobs of a leader, which PeerMonitor keeps.
+    /// The latest heartbeat. Its cancellations are passed on and not kept here. The progress and
+    /// the faulty jobs of a leader are kept in PeerMonitor instead.
     PeerHeartbeat heartbeat;
-    bool heartbeat_in_flight =
-        false;  ///< Whether a periodic heartbeat to the peer has no response yet.
+    bool heartbeat_in_flight = false;  ///< Whether a periodic heartbeat awaits its response.
     CancellationLogTracker cancellation_log_tracker;
 
-    /// Whether a heartbeat has come lately.
+    /// Whether a heartbeat has been received recently.
     bool recently_heard(Instant now) const;
 };
 
