--- a/src/controller/batch_order.cpp
+++ b/src/controller/batch_order.cpp
@@ -6,7 +6,7 @@
 namespace dunebridge::controller {
 
 namespace {
-// The most urgent first.
+// In the order in which they are handled.
 enum class Priority : std::uint8_t {
     call_result,
     peer_request,
@@ -16,7 +16,8 @@
     query
 };
 
-// By the target alone: a request that is refused later on needs no place of its own.
+// Looks only at listener, method and target. Requests that will be refused need no priority of
+// their own.
 Priority priority_of(const Command& command) {
     const auto* request = std::get_if<Request>(&command);
     if (!request) return Priority::call_result;
--- a/src/controller/batch_order.hpp
+++ b/src/controller/batch_order.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Commands to the controller, and the order in which those of one batch are handled.
+/// Commands to the controller, and the order in which the commands of one batch are handled.
 #pragma once
 
 #include <variant>
@@ -11,17 +11,18 @@
 
 namespace dunebridge::controller {
 
-/// A call that the controller asked for has ended.
+/// Result of a call that the controller has requested.
 struct CallCompleted {
     CallId id;
     sansio::HttpResult result;
 };
 
-/// What the I/O layer hands to the controller.
+/// Input that the I/O layer passes to the controller.
 using Command = std::variant<Request, CallCompleted>;
 
-/// Sorts a batch by urgency: first what leases and leadership depend on, then cancellations,
-/// submissions, and last what only asks. Commands of the same urgency keep their order.
+/// Sorts a batch by priority: first the commands on which leases and leadership depend, then
+/// cancellations, then submissions, and last the queries. Commands of equal priority keep their
+/// order.
 void sort_by_priority(std::vector<Command>& batch);
 
 }  // namespace dunebridge::controller
--- a/src/controller/cancellation_broadcast.cpp
+++ b/src/controller/cancellation_broadcast.cpp
@@ -17,8 +17,8 @@
 
 void CancellationBroadcast::record(const JobId& job) {
     const bool is_new = cancellation_log_.append(job);
-    const bool leads = election_.is_leader() && state_.loaded();
-    if (is_new && leads) apply_to_cluster_state(job);
+    const bool is_active_leader = election_.is_leader() && state_.loaded();
+    if (is_new && is_active_leader) apply_to_cluster_state(job);
 }
 
 void CancellationBroadcast::notify_leader(const JobId& job, std::function<void()> on_completed) {
@@ -40,9 +40,10 @@
     state_.ended(job, wire::JobPhase::cancelled);
 }
 
-// The peer that leads; empty if there is none or it is this node. A leader that has just been
-// elected says so only once it has loaded the cluster state, and starts tasks in the next moment:
-// the election's record names it earlier than its heartbeats do.
+// The leader among the peers; empty if there is none or this controller is the leader. A newly
+// elected leader reports its leadership in heartbeats only after it has loaded the cluster state,
+// and may start tasks immediately afterwards. The leader key names it earlier, so the key is used
+// while no heartbeat names a leader.
 ControllerName CancellationBroadcast::leader_to_notify() const {
     if (election_.is_leader()) return ControllerName();
     const auto leader = peer_monitor_.leader();
--- a/src/controller/cancellation_broadcast.hpp
+++ b/src/controller/cancellation_broadcast.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Takes committed cancellations to where they must be known: this node's log, the leader's cluster
-/// state, and the leader itself before a user is answered.
+/// Distribution of committed cancellations: to this controller's log, to the cluster state if this
+/// controller is the leader, and to another leader before the user is answered.
 #pragma once
 
 #include <functional>
@@ -14,22 +14,28 @@
 
 namespace dunebridge::controller {
 
-/// All of its functions take ids of jobs whose cancellation is committed in the key-value store.
+/// Distributes committed cancellations. Its functions must only be given ids of jobs whose
+/// cancellation is committed in the key-value store.
 class CancellationBroadcast {
   public:
+    /// All references must outlive the object.
     CancellationBroadcast(sansio::Context& context, const coordination::Election& election,
                           coordination::CancellationLog& cancellation_log,
                           coordination::PeerMonitor& peer_monitor,
                           state::ClusterState& cluster_state);
 
-    /// Appends it to the log and, on the leader, stops the job. Whoever reports a committed
-    /// cancellation is right: the leader stops the tasks without reading the record.
+    /// Appends the cancellation to the log and, on the leader, cancels the job. A committed
+    /// cancellation is valid whoever reports it, so the leader stops the job's tasks without
+    /// reading the terminal record first.
     void record(const JobId& job);
-    /// Records it and informs the leader, then runs `then`: when the leader has answered, or has
-    /// not in time. The leader is to know before the user does, so that nothing starts after that;
-    /// if it does not answer, the time for which it may renew leases is bounded all the same.
+    /// Records the cancellation and notifies the leader. Calls `on_completed` when the leader has
+    /// responded or the request has failed or timed out, or at once if no other leader is known.
+    /// The leader is notified before the user is answered, so that no task of the job starts after
+    /// the answer. If the leader does not respond, the time for which it may go on renewing leases
+    /// is bounded nevertheless (LeadershipGuard::may_renew_leases).
     void notify_leader(const JobId& job, std::function<void()> on_completed);
-    /// Applies the whole log to the cluster state that has just been loaded.
+    /// Applies all cancellations in the log to the cluster state. To be called when the cluster
+    /// state has just been loaded.
     void apply_log();
 
   private:
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -106,7 +106,7 @@
 }
 
 void Controller::handle_request(RequestId id, const WorkerHeartbeatRequest& request) {
-    // A relayed heartbeat is not relayed once more.
+    // A relayed heartbeat must not be relayed again.
     if (!is_active_leader() && request.relayed) {
         context_.refuse(id, RefusalReason::not_the_leader);
         return;
@@ -125,7 +125,7 @@
 
 void Controller::handle_worker_heartbeat_as_leader(RequestId id, wire::Value body) {
     const auto heartbeat = wire::decode_worker_heartbeat(body);
-    // The response renews the worker's lease.
+    // The response to a heartbeat renews the worker's lease.
     if (leadership_guard_.may_renew_leases(follower_.terminal_records_read_at())) {
         worker_manager_.handle_heartbeat(id, heartbeat);
     } else {
@@ -154,9 +154,9 @@
     }
 }
 
-// In an outage of the key-value store every node is as good as any other and says so: taking it out
-// of service would only lengthen the outage for the users. Where other nodes reach the store, they
-// should serve instead.
+// While no controller reaches the key-value store, all of them report that they are ready: taking
+// them out of service would only lengthen the outage for the users. If a peer does reach the store,
+// this controller is not ready, so that the peer serves the requests.
 bool Controller::ready() const {
     if (machine_types_.empty()) return false;
     return kv_client_.reachable() || !peer_monitor_.kv_reachable_by_a_peer();
@@ -167,7 +167,7 @@
 void Controller::update_election() {
     if (peer_monitor_.highest_term() > election_.term())
         election_.observe_newer_term(peer_monitor_.highest_term());
-    // Where the key-value store serves others but not this node, another should lead.
+    // If the key-value store is unreachable only from here, another controller should lead.
     kv_client_.probe_if_idle();
     election_.set_eligible(kv_client_.reachable());
     election_.poll();
@@ -199,8 +199,9 @@
     peer_monitor_.broadcast_soon();
 }
 
-// Adds what this node knows besides the records: cancellations that were reported before the
-// cluster state was loaded, and the previous leader's faulty jobs.
+// Adds to the loaded cluster state what this controller knows from other sources: cancellations
+// that were reported before the state was loaded, and the previous leader's faulty jobs. Takes
+// effect once per generation.
 void Controller::complete_failover() {
     if (completed_failover_generation_ == started_generation_) return;
     completed_failover_generation_ = started_generation_;
@@ -208,7 +209,7 @@
     peer_heartbeat_builder_.restore_faulty_jobs();
 }
 
-// ---- the leader's work ----
+// ---- work done only by the leader ----
 
 void Controller::run_leader_tasks(bool maintenance) {
     complete_failover();
@@ -225,7 +226,8 @@
         context_.request_wake(next_scheduling_at_);
         return;
     }
-    // Where very many jobs wait, machines are full and passes are long: they may be fewer.
+    // With very many pending jobs, the machines are full and a scheduling pass takes long, so
+    // passes may be less frequent.
     const auto pending_jobs = static_cast<std::int64_t>(scheduler_.run());
     next_scheduling_at_ =
         context_.now() +
--- a/src/controller/controller.hpp
+++ b/src/controller/controller.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The one owner of a controller process's state. It handles commands in batches and returns
-/// effects.
+/// Owner of the whole state of a controller process. It handles commands in batches and returns
+/// the resulting effects.
 #pragma once
 
 #include <cstdint>
@@ -33,11 +33,14 @@
 
 namespace dunebridge::controller {
 
-/// A controller without input and output: it has no clock and no randomness but what it is given.
-/// Its parts share one Context and hold references to each other, so it can't be copied or moved.
-/// Not thread-safe: one thread calls it.
+/// A controller without I/O: it is given the time and a random seed, and returns the calls,
+/// responses and log lines for the I/O layer to carry out. Its parts share one Context and hold
+/// references to each other, so it cannot be copied or moved. Not thread-safe: only one thread may
+/// call it.
 class Controller {
   public:
+    /// `seed` initializes the random number generator; `level` is the most verbose level that is
+    /// logged.
     Controller(config::Config config, std::uint64_t seed, sansio::LogLevel level);
     Controller(const Controller&) = delete;
     Controller& operator=(const Controller&) = delete;
@@ -45,17 +48,20 @@
     Controller& operator=(Controller&&) = delete;
     ~Controller() = default;
 
-    /// One step: handles the batch, runs what is due at that time, and returns what is to be sent.
-    /// `now` never goes back from one step to the next.
+    /// Runs one step: handles the batch, performs the actions that are due at `now`, and returns
+    /// the effects for the I/O layer to carry out. `now` must not decrease from one step to the
+    /// next. `wall_ms` is the time in milliseconds since the Unix epoch.
     sansio::Effects apply(std::vector<Command>&& batch, Instant now, std::int64_t wall_ms);
-    /// When apply() is to be called at the latest, if need be with an empty batch.
+    /// The latest moment for the next call of apply(), with an empty batch if there are no
+    /// commands.
     Instant wake() const { return context_.wake(); }
 
-    /// Whether this node leads and has loaded the cluster state: only then does it decide.
+    /// Whether this controller is the leader and has loaded the cluster state. Only then does it
+    /// schedule tasks and change the cluster state.
     bool is_active_leader() const { return election_.is_leader() && state_.loaded(); }
 
   private:
-    // Requests and results.
+    // Requests and call results.
     void handle(Command&& command);
     void handle_request(RequestId id, const SubmitJob& request);
     void handle_request(RequestId id, const PollJob& request);
@@ -74,7 +80,7 @@
     void end_term();
     void complete_failover();
 
-    // The leader's work.
+    // Work done only by the leader.
     void run_leader_tasks(bool maintenance);
     void schedule_if_due();
     bool maintenance_due();
@@ -101,11 +107,11 @@
     api::JobService job_service_;
     LeadershipGuard leadership_guard_;
     HeartbeatRelay heartbeat_relay_;
-    /// The election's generation whose cluster state was last loaded.
+    /// The election generation in which begin_term() was last run.
     std::uint64_t started_generation_ = 0;
-    /// The generation whose cluster state was last completed with what this node knew besides.
+    /// The election generation in which complete_failover() last took effect.
     std::uint64_t completed_failover_generation_ = 0;
-    bool was_leader_ = false;  ///< As of the last handle_leadership_change().
+    bool was_leader_ = false;  ///< At the last call of handle_leadership_change().
     Instant last_apply_at_{};
     Instant next_scheduling_at_{};
     Instant next_maintenance_at_{};
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 constexpr Millis kPruneInterval{5000};
-// A worker that comes back within this time of its first redirection is relayed.
+// The heartbeats of a worker that comes back within this time of its first redirect are relayed.
+// Then it is redirected once more.
 constexpr Millis kRelayWindow{30000};
 constexpr Millis kRelayTimeout{2500};
 constexpr int kMisdirectedRequest = 421;
@@ -38,7 +39,7 @@
     }
 }
 
-// The leader to send workers to; never this node, and empty if none is known.
+// The leader to which workers are redirected. Never this controller; empty if none is known.
 ControllerName HeartbeatRelay::known_leader() const {
     auto leader = peer_monitor_.leader();
     if (leader.get().empty() && kv_client_.reachable()) leader = election_.observed_leader();
@@ -46,7 +47,7 @@
 }
 
 void HeartbeatRelay::redirect(RequestId id, const ControllerName& leader) {
-    if (election_.is_leader()) {  // still loads the cluster state
+    if (election_.is_leader()) {  // is still loading the cluster state
         context_.refuse(id, RefusalReason::leader_loading);
     } else if (leader.get().empty()) {
         context_.refuse(id, RefusalReason::no_leader);
@@ -65,7 +66,7 @@
     return !first_redirected_at_.try_emplace(host, context_.now()).second;
 }
 
-// The leader's response, with its fencing token, is passed on unchanged.
+// Returns the leader's response, including its fencing token, to the worker unchanged.
 void HeartbeatRelay::relay(RequestId id, const std::string& body,
                            const config::PeerAddress& leader) {
     context_.call(sansio::Destination::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
--- a/src/controller/leadership_guard.cpp
+++ b/src/controller/leadership_guard.cpp
@@ -5,11 +5,13 @@
 namespace dunebridge::controller {
 
 namespace {
-// After so many intervals without any worker's heartbeat a leader counts as unreachable.
+// After this number of heartbeat intervals without a heartbeat from any worker, the workers are
+// assumed not to reach the leader.
 constexpr int kMaxMissedHeartbeats = 5;
-// For how long it then leaves the leadership to the others.
+// For how long the leader then does not campaign, so that another controller can lead.
 constexpr Millis kResignCooldown{20000};
-constexpr int kIsolationLimitPercent = 35;  // of a worker's lease
+// How long a leader may be isolated, in percent of a worker's lease.
+constexpr int kIsolationLimitPercent = 35;
 }  // namespace
 
 LeadershipGuard::LeadershipGuard(sansio::Context& context, const config::Config& config,
@@ -36,8 +38,9 @@
     return stalled;
 }
 
-// It may have been replaced long ago. While it renews leases, the new leader can't run those
-// workers' tasks elsewhere: the workers are to look for another leader in good time.
+// Another controller may have become the leader long ago. As long as this one renews leases, the
+// new leader cannot run the tasks of those workers elsewhere. Refusing their heartbeats makes the
+// workers look for another leader before their leases expire.
 void LeadershipGuard::suspend_leadership_if_isolated() {
     if (config_.peers.empty() || kv_client_.reachable()) return;
     const auto isolated_for =
@@ -50,7 +53,8 @@
 
 void LeadershipGuard::resign_if_no_worker_heartbeats() {
     if (config_.peers.empty()) return;
-    // No heartbeat at all in this term proves nothing: there may be no machine left.
+    // If there was no heartbeat at all in this term, there may be no machines left, so nothing can
+    // be concluded from it.
     Instant last_heartbeat_at{};
     for (const auto& [host, machine] : state_.machines()) {
         if (machine.instance.deleting) continue;
@@ -64,10 +68,10 @@
     election_.resign(kResignCooldown);
 }
 
-// docs/design.md, 'Cancellation': from the moment a user may have been shown a cancellation that
-// this leader does not know, it renews leases for so long only that they expire within the
-// deadline. What it knows is what it has read from the key-value store, or what every peer has
-// acknowledged.
+// See docs/design.md, 'Cancellation'. A peer may have reported a cancellation to a user that this
+// leader does not know of. From that moment the leader may renew leases only for as long as they
+// still expire within the cancellation deadline. The leader knows the cancellations that it has
+// read from the key-value store, and those that every peer has acknowledged.
 bool LeadershipGuard::may_renew_leases(Instant terminal_records_read_at) {
     const auto known = std::max(terminal_records_read_at,
                                 peer_monitor_.cancellations_known_until(terminal_records_read_at));
--- a/src/controller/leadership_guard.hpp
+++ b/src/controller/leadership_guard.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// When a leader must give leadership up, or stop renewing leases, though the key-value store has
-/// not shown that another node leads.
+/// Conditions under which a leader must give up the leadership or stop renewing leases before the
+/// key-value store has shown that another controller leads.
 #pragma once
 
 #include "config/config.hpp"
@@ -12,26 +12,31 @@
 
 namespace dunebridge::controller {
 
-/// Decides when a leader must give up the leadership, or stop renewing leases, although the key-
-/// value store has not shown that another controller leads.
+/// Checks the conditions under which a leader must give up the leadership or stop renewing leases,
+/// although the leader key has not shown that another controller leads.
 class LeadershipGuard {
   public:
+    /// All references must outlive the object. Logs an error if the cancellation deadline is too
+    /// short for the duration of worker leases.
     LeadershipGuard(sansio::Context& context, const config::Config& config,
                     const kv::KvClient& kv_client, coordination::Election& election,
                     const coordination::PeerMonitor& peer_monitor,
                     state::ClusterState& cluster_state);
 
-    /// To be called before anything else of a step. Suspends leadership after a stall of the
-    /// process of a leader's lease or more: another node may lead meanwhile, and no lease is taken
-    /// to have expired before the key-value store has answered. Returns whether there was a stall.
+    /// Suspends the leadership if the process was stalled for the duration of the leader's lease or
+    /// longer: another controller may have become the leader, and no worker lease may be treated as
+    /// expired before the key-value store has responded. Must be called before anything else in a
+    /// step. `last_apply_at` is the time of the previous step; the epoch if there was none. Returns
+    /// whether there was a stall.
     bool suspend_leadership_after_stall(Instant last_apply_at);
-    /// Suspends the leadership of a node that reaches neither the key-value store nor a peer.
+    /// Suspends the leadership if this controller reaches neither the key-value store nor a peer.
     void suspend_leadership_if_isolated();
-    /// Resigns if no worker reaches this leader, directly or through its peers: another node may
-    /// be reached. Only for a leader whose cluster state is loaded.
+    /// Resigns if no worker reaches this leader, neither directly nor relayed by a peer: the
+    /// workers may be able to reach another controller. The cluster state must be loaded.
     void resign_if_no_worker_heartbeats();
-    /// Whether leases may be renewed by a node that has read all terminal records up to that time
-    /// from the key-value store.
+    /// Returns whether this leader may renew worker leases, given that it has read all terminal
+    /// records that were committed before `terminal_records_read_at` from the key-value store. Logs
+    /// an error if not.
     bool may_renew_leases(Instant terminal_records_read_at);
 
   private:
--- a/src/controller/peer_heartbeat_builder.cpp
+++ b/src/controller/peer_heartbeat_builder.cpp
@@ -31,7 +31,8 @@
     heartbeat.cancellations = cancellation_log_.retained();
     if (!heartbeat.is_active_leader) return heartbeat;
     own_faulty_jobs_ = faulty_jobs();
-    // Sent only once every controller knows this version.
+    // Earlier versions do not have this field: it is sent only when every controller supports this
+    // version's record format.
     if (common_record_format() == config_.newest_record_format)
         heartbeat.faulty_jobs = own_faulty_jobs_;
     for (const auto& [id, job] : state_.jobs()) {
--- a/src/controller/peer_heartbeat_builder.hpp
+++ b/src/controller/peer_heartbeat_builder.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// This controller's heartbeats to its peers, and what it keeps from them for a failover.
+/// This controller's heartbeats to its peers, and the use of their contents after a failover.
 #pragma once
 
 #include <cstdint>
@@ -19,22 +19,23 @@
 /// Builds the heartbeat that this controller sends to its peers.
 class PeerHeartbeatBuilder {
   public:
+    /// All references must outlive the builder.
     PeerHeartbeatBuilder(const config::Config& config, const kv::KvClient& kv_client,
                          const coordination::Election& election,
                          coordination::CancellationLog& cancellation_log,
                          const coordination::PeerMonitor& peer_monitor,
                          state::ClusterState& cluster_state);
 
-    /// The heartbeat to send now.
+    /// Returns a heartbeat with the current state.
     coordination::PeerHeartbeat build();
-    /// The newest record format that every controller has shown to know.
+    /// The newest record format that every controller is known to support.
     std::uint64_t common_record_format() const;
-    /// How far a job is: by the cluster state on the leader, else by the leader's heartbeats.
-    /// Advice for display.
+    /// Progress of a job, zero if it is unknown: from the cluster state on the leader, otherwise
+    /// from the leader's heartbeats. It may be out of date and is meant for display only.
     coordination::JobProgress progress(const JobId& job);
-    /// Marks the jobs that failed on every machine under the previous leader, so that they are not
-    /// tried at full width once more. It is advice: a job that has recovered shows it with its
-    /// first success.
+    /// Marks the jobs that failed on every machine under the previous leader, so that their tasks
+    /// are not all tried again at once. The mark is only a hint: it is removed with the first
+    /// success of a job that has recovered.
     void restore_faulty_jobs();
 
   private:
@@ -48,7 +49,7 @@
     coordination::CancellationLog& cancellation_log_;
     const coordination::PeerMonitor& peer_monitor_;
     state::ClusterState& state_;
-    /// As of the latest heartbeat that this node built while it led.
+    /// From the latest heartbeat that this controller built as the leader.
     std::vector<JobId> own_faulty_jobs_;
 };
 
--- a/src/controller/router.cpp
+++ b/src/controller/router.cpp
@@ -32,7 +32,7 @@
     if (request.method != (is_cancellation ? kPost : kGet))
         return refused(RefusalReason::method_not_allowed);
     JobId job{std::string(id)};
-    // No job can have such an id.
+    // The id is malformed, so no job can have it.
     if (!wire::valid_job_id(job.get())) return refused(RefusalReason::no_such_job);
     if (is_cancellation) return CancelJob{std::move(job)};
     return PollJob{std::move(job)};
--- a/src/controller/router.hpp
+++ b/src/controller/router.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Recognizes HTTP requests by listener, method and path, so that the owner of the state handles
-/// typed requests only.
+/// Routing of HTTP requests by listener, method and path, so that the controller handles typed
+/// requests only.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,18 @@
 
 namespace dunebridge::controller {
 
-/// Where a request came in: `front` serves users, probes and workers, `back` other controllers.
+/// Listening socket on which a request was received: `front` serves users, health probes and
+/// workers; `back` serves other controllers.
 enum class Listener : std::uint8_t { front, back };
 
-/// A request as it was received.
+/// An HTTP request as it was received.
 struct Request {
     RequestId id;
     Listener listener = Listener::front;
     std::string method;
     std::string target;
     std::string body;
-    bool too_large = false;  ///< Its header or body was over the limit and is not here.
+    bool too_large = false;  ///< The header or body exceeded the limit and was dropped.
 };
 
 /// A user submits a job.
@@ -37,23 +38,23 @@
 struct CancelJob {
     JobId job;
 };
-/// A worker's heartbeat, or one that another controller relays.
+/// A worker's heartbeat, received directly or relayed by another controller.
 struct WorkerHeartbeatRequest {
     std::string body;
     bool relayed = false;
 };
-/// A health probe asks whether this node should get requests.
+/// A health probe asks whether this controller should receive requests.
 struct ReadinessProbe {};
 /// Another controller's heartbeat.
 struct PeerHeartbeatRequest {
     std::string body;
 };
 
-/// What a request asks for; a refusal if it is none that this node serves.
+/// A typed request, or the refusal of a request that is not served.
 using RoutedRequest = std::variant<SubmitJob, PollJob, CancelJob, WorkerHeartbeatRequest,
                                    ReadinessProbe, PeerHeartbeatRequest, sansio::Refusal>;
 
-/// Recognizes a request. Bodies are not decoded; job ids are checked for their form.
+/// Returns the typed request. Bodies are not decoded; job ids are checked for their syntax.
 RoutedRequest route(Request&& request);
 
 }  // namespace dunebridge::controller
