--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -7,9 +7,10 @@
 using sansio::RefusalReason;
 
 namespace {
-constexpr Millis kForgetInterval{5000};
-// A worker that comes back within this time of its first redirection is relayed.
-constexpr Millis kRelayDuration{30000};
+constexpr Millis kPruneInterval{5000};
+// The heartbeats of a worker that comes back within this time of its first redirect are relayed.
+// Then it is redirected once more.
+constexpr Millis kRelayWindow{30000};
 constexpr Millis kRelayTimeout{2500};
 constexpr int kMisdirectedRequest = 421;
 }  // namespace
@@ -26,10 +27,11 @@
 
 void HeartbeatRelay::handle(RequestId id, const std::string& body, wire::Value heartbeat) {
     const auto leader = known_leader();
-    const bool should_relay = !leader.get().empty() &&
-                              redirected_recently(MachineName(heartbeat["host"].need_text("host")));
+    const bool should_relay =
+        !leader.get().empty() &&
+        check_and_record_redirect(MachineName(heartbeat["host"].need_text("host")));
     const auto peer = std::find_if(config_.peers.begin(), config_.peers.end(),
-                                   [&](const auto& known) { return known.name == leader; });
+                                   [&](const auto& address) { return address.name == leader; });
     if (should_relay && peer != config_.peers.end()) {
         relay(id, body, *peer);
     } else {
@@ -37,7 +39,7 @@
     }
 }
 
-// The leader to send workers to; never this node, and empty if none is known.
+// The leader to which workers are redirected. Never this controller; empty if none is known.
 ControllerName HeartbeatRelay::known_leader() const {
     auto leader = peer_monitor_.leader();
     if (leader.get().empty() && kv_client_.reachable()) leader = election_.observed_leader();
@@ -45,7 +47,7 @@
 }
 
 void HeartbeatRelay::redirect(RequestId id, const ControllerName& leader) {
-    if (election_.is_leader()) {  // still loads the cluster state
+    if (election_.is_leader()) {  // is still loading the cluster state
         context_.refuse(id, RefusalReason::leader_loading);
     } else if (leader.get().empty()) {
         context_.refuse(id, RefusalReason::no_leader);
@@ -54,17 +56,17 @@
     }
 }
 
-bool HeartbeatRelay::redirected_recently(const MachineName& host) {
-    if (context_.now() >= next_forget_) {
-        next_forget_ = context_.now() + kForgetInterval;
+bool HeartbeatRelay::check_and_record_redirect(const MachineName& host) {
+    if (context_.now() >= next_prune_at_) {
+        next_prune_at_ = context_.now() + kPruneInterval;
         std::erase_if(first_redirected_at_, [&](const auto& entry) {
-            return context_.now() - entry.second > kRelayDuration;
+            return context_.now() - entry.second > kRelayWindow;
         });
     }
     return !first_redirected_at_.try_emplace(host, context_.now()).second;
 }
 
-// The leader's response, with its fencing token, is passed on unchanged.
+// Returns the leader's response, including its fencing token, to the worker unchanged.
 void HeartbeatRelay::relay(RequestId id, const std::string& body,
                            const config::PeerAddress& leader) {
     context_.call(sansio::Destination::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
--- a/src/controller/peer_heartbeat_builder.cpp
+++ b/src/controller/peer_heartbeat_builder.cpp
@@ -24,14 +24,15 @@
 PeerHeartbeat PeerHeartbeatBuilder::build() {
     PeerHeartbeat heartbeat;
     heartbeat.node = config_.name;
-    heartbeat.leads = leads();
+    heartbeat.is_active_leader = is_active_leader();
     heartbeat.term = election_.is_leader() ? election_.term() : peer_monitor_.highest_term();
     heartbeat.kv_reachable = kv_client_.reachable();
     heartbeat.format = config_.newest_record_format;
     heartbeat.cancellations = cancellation_log_.retained();
-    if (!heartbeat.leads) return heartbeat;
+    if (!heartbeat.is_active_leader) return heartbeat;
     own_faulty_jobs_ = faulty_jobs();
-    // Sent only once every controller knows this version.
+    // Earlier versions do not have this field: it is sent only when every controller supports this
+    // version's record format.
     if (common_record_format() == config_.newest_record_format)
         heartbeat.faulty_jobs = own_faulty_jobs_;
     for (const auto& [id, job] : state_.jobs()) {
@@ -49,7 +50,7 @@
 }
 
 JobProgress PeerHeartbeatBuilder::progress(const JobId& job) {
-    if (leads()) {
+    if (is_active_leader()) {
         const auto* known = state_.find_job(job);
         return known ? JobProgress{job, known->done, known->running} : JobProgress{job, 0, 0};
     }
--- a/src/coordination/peer_heartbeat.cpp
+++ b/src/coordination/peer_heartbeat.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr std::uint64_t kVersion = 1;
-// Limits that keep a heartbeat small, whatever the state of the sender.
-constexpr std::size_t kMaxProgress = 400;
+constexpr std::uint64_t kMessageVersion = 1;
+// Limits of the lists in a heartbeat, which bound its size whatever the state of the sender.
+constexpr std::size_t kMaxProgressEntries = 400;
 constexpr std::size_t kMaxCancellations = 2000;
 constexpr std::size_t kMaxFaultyJobs = 200;
 constexpr std::size_t kMandatoryFields = 10;
 
 void encode_progress(wire::Writer& writer, const std::vector<JobProgress>& progress) {
-    const auto count = std::min(progress.size(), kMaxProgress);
+    const auto count = std::min(progress.size(), kMaxProgressEntries);
     writer.text("jobs").list(count);
     for (std::size_t i = 0; i < count; ++i) {
         const auto& job = progress[i];
@@ -25,7 +25,7 @@
 
 std::vector<JobProgress> decode_progress(wire::Value jobs) {
     std::vector<JobProgress> progress;
-    for (std::size_t i = 0; i < std::min(jobs.size(), kMaxProgress); ++i) {
+    for (std::size_t i = 0; i < std::min(jobs.size(), kMaxProgressEntries); ++i) {
         const auto job = jobs.at(i);
         if (job.size() != 3) throw wire::DecodeError("jobs");
         progress.push_back({JobId(job.at(0).need_text("job")), job.at(1).need_count("done"),
@@ -36,10 +36,10 @@
 
 CancellationLogSegment decode_cancellations(wire::Value body) {
     CancellationLogSegment segment;
-    // A version without the log acknowledges nothing.
+    // Versions without the cancellation log do not send its fields; they acknowledge nothing.
     if (body["log"].is_null()) return segment;
     segment.incarnation = body["log"].need_count("log");
-    segment.first = body["from"].need_count("from");
+    segment.first_sequence = body["from"].need_count("from");
     const auto jobs = body["withdrawn"];
     if (jobs.size() > kMaxCancellations) throw wire::DecodeError("withdrawn");
     for (std::size_t i = 0; i < jobs.size(); ++i) {
@@ -54,14 +54,14 @@
     wire::Writer writer;
     const auto faulty = std::min(heartbeat.faulty_jobs.size(), kMaxFaultyJobs);
     writer.map(kMandatoryFields + (faulty > 0 ? 1 : 0));
-    writer.text("v").count(kVersion);
+    writer.text("v").count(kMessageVersion);
     writer.text("node").text(heartbeat.node.get());
     writer.text("term").count(heartbeat.term.get());
-    writer.text("leads").boolean(heartbeat.leads);
+    writer.text("leads").boolean(heartbeat.is_active_leader);
     writer.text("state").boolean(heartbeat.kv_reachable);
     encode_progress(writer, heartbeat.progress);
     writer.text("log").count(heartbeat.cancellations.incarnation);
-    writer.text("from").count(heartbeat.cancellations.first);
+    writer.text("from").count(heartbeat.cancellations.first_sequence);
     writer.text("format").count(heartbeat.format);
     writer.text("withdrawn").list(heartbeat.cancellations.jobs.size());
     for (const auto& id : heartbeat.cancellations.jobs) writer.text(id.get());
@@ -72,13 +72,13 @@
 }
 
 PeerHeartbeat decode_peer_heartbeat(wire::Value body) {
-    if (body["v"].need_count("v") != kVersion) {
+    if (body["v"].need_count("v") != kMessageVersion) {
         throw wire::DecodeError(wire::DecodeProblem::unknown_version);
     }
     PeerHeartbeat heartbeat;
     heartbeat.node = ControllerName(body["node"].need_text("node"));
     heartbeat.term = Term(body["term"].need_count("term"));
-    heartbeat.leads = body["leads"].need_bool("leads");
+    heartbeat.is_active_leader = body["leads"].need_bool("leads");
     heartbeat.kv_reachable = body["state"].need_bool("state");
     heartbeat.progress = decode_progress(body["jobs"]);
     if (!body["format"].is_null()) heartbeat.format = body["format"].need_count("format");
