--- a/src/app/runtime.cpp
+++ b/src/app/runtime.cpp
@@ -157,11 +157,11 @@
         co_return;
     }
     std::string address = c.endpoint;
-    if (c.service == sansio::Destination::state) address = config_.state_addr;
-    if (c.service == sansio::Destination::cloud) address = config_.cloud_addr;
-    auto& client = c.service == sansio::Destination::worker ? worker_client_
-                   : c.service == sansio::Destination::peer ? peer_client_
-                                                            : service_client_;
+    if (c.destination == sansio::Destination::kv_store) address = config_.kv_store_addr;
+    if (c.destination == sansio::Destination::cloud) address = config_.cloud_addr;
+    auto& client = c.destination == sansio::Destination::worker ? worker_client_
+                   : c.destination == sansio::Destination::peer ? peer_client_
+                                                                : service_client_;
     auto reply = co_await client.call(std::move(address), std::move(c.method), std::move(c.target),
                                       std::move(c.body), c.timeout);
     post(controller::CallCompleted{c.id, std::move(reply)});
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -109,7 +109,7 @@
     }
     const auto external = top.sub("external");
     config.cloud_addr = external.address("cloud");
-    config.state_addr = external.address("state");
+    config.kv_store_addr = external.address("state");
     read_cluster(top.sub("cluster"), config);
     return config;
 }
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -29,7 +29,7 @@
     std::string peer_addr;    ///< Of other controllers.
     std::vector<PeerAddress> peers;
     std::string cloud_addr;
-    std::string state_addr;  ///< Of the key-value store.
+    std::string kv_store_addr;  ///< Of the key-value store.
     /// @}
 
     std::vector<std::string> zones;
--- a/src/kv/connection.cpp
+++ b/src/kv/connection.cpp
@@ -23,7 +23,7 @@
 void KvConnection::call(std::string method, std::string target, std::string body, Millis timeout,
                         sansio::Context::Continuation then) {
     const std::string logged_target = target;
-    context_.call(Destination::state, {}, std::move(method), std::move(target), std::move(body),
+    context_.call(Destination::kv_store, {}, std::move(method), std::move(target), std::move(body),
                   timeout, [this, logged_target, then = std::move(then)](const HttpResult& result) {
                       track_result(result, logged_target);
                       then(result);
@@ -43,7 +43,8 @@
 
 void KvConnection::long_poll(std::string target, Millis timeout,
                              sansio::Context::Continuation then) {
-    context_.call(Destination::state, {}, "GET", std::move(target), {}, timeout, std::move(then));
+    context_.call(Destination::kv_store, {}, "GET", std::move(target), {}, timeout,
+                  std::move(then));
 }
 
 void KvConnection::probe_if_idle() {
--- a/src/sansio/context.cpp
+++ b/src/sansio/context.cpp
@@ -15,11 +15,11 @@
     return Millis(std::uniform_int_distribution<std::int64_t>(0, most.count())(rng_));
 }
 
-void Context::call(Destination service, std::string endpoint, std::string method,
+void Context::call(Destination destination, std::string endpoint, std::string method,
                    std::string target, std::string body, Millis timeout, Continuation then) {
     const CallId id(++last_call_);
     pending_.emplace(id, std::move(then));
-    effects_.calls.push_back({id, service, std::move(endpoint), std::move(method),
+    effects_.calls.push_back({id, destination, std::move(endpoint), std::move(method),
                               std::move(target), std::move(body), timeout});
 }
 
--- a/src/sansio/context.hpp
+++ b/src/sansio/context.hpp
@@ -40,7 +40,7 @@
     Millis jitter(Millis most);
 
     /// Asks for a call. `then` is run with its result, within a later complete().
-    void call(Destination service, std::string endpoint, std::string method, std::string target,
+    void call(Destination destination, std::string endpoint, std::string method, std::string target,
               std::string body, Millis timeout, Continuation then);
     /// Hands the result of a call to its continuation; a second result is ignored.
     void complete(CallId id, const HttpResult& result);
--- a/src/sansio/http.hpp
+++ b/src/sansio/http.hpp
@@ -15,12 +15,12 @@
 inline constexpr int kHttpOk = 200;
 
 /// Which kind of server a call goes to.
-enum class Destination : std::uint8_t { state, cloud, worker, peer };
+enum class Destination : std::uint8_t { kv_store, cloud, worker, peer };
 
 /// A call that the I/O layer is to make.
 struct HttpCall {
     CallId id;
-    Destination service = Destination::state;
+    Destination destination = Destination::kv_store;
     /// Address of a worker or a peer; empty for the others, which have one configured address each.
     std::string endpoint;
     std::string method;
--- a/tests/sim/controller_harness.cpp
+++ b/tests/sim/controller_harness.cpp
@@ -156,15 +156,16 @@
     const auto done = [this, id = c.id, incarnation = incarnation_](const HttpResult& reply) {
         if (incarnation == incarnation_) queue_.push_back(controller::CallCompleted{id, reply});
     };
-    const bool lost = writes_lost_ && c.service == Destination::state && c.target == "/multi" &&
+    const bool lost = writes_lost_ && c.destination == Destination::kv_store &&
+                      c.target == "/multi" &&
                       wire::Document::parse(c.body)->root()["writes"].size() > 0;
     if (lost) {
         clock_.after(c.timeout, [done] { done(HttpResult(sansio::CallOutcome::no_response)); });
-    } else if (c.service == Destination::state) {
+    } else if (c.destination == Destination::kv_store) {
         state_.handle(c.method, c.target, c.body, done);
-    } else if (c.service == Destination::cloud) {
+    } else if (c.destination == Destination::cloud) {
         done(cloud_.handle(c.method, c.target, c.body));
-    } else if (c.service == Destination::peer) {
+    } else if (c.destination == Destination::peer) {
         clock_.after(c.timeout, [done] {
             done(HttpResult(sansio::CallOutcome::no_response));
         });  // no other controller is there
--- a/tests/sim/controller_processes.cpp
+++ b/tests/sim/controller_processes.cpp
@@ -145,7 +145,7 @@
     for (const auto& call : effects.calls) {
         add(index);
         add(sim_.clock.now().time_since_epoch().count());
-        add(static_cast<int>(call.service));
+        add(static_cast<int>(call.destination));
         add(call.endpoint);
         add(call.method);
         add(call.target);
--- a/tests/sim/simulated_network.cpp
+++ b/tests/sim/simulated_network.cpp
@@ -52,30 +52,30 @@
         *answered = true;
         controllers_.deliver(i, controller::CallCompleted{id, reply});
     };
-    const auto fault = link_fault(links, c.service);
+    const auto fault = link_fault(links, c.destination);
     // Without a connection a command is certainly not sent.
-    if (c.service == Destination::worker &&
+    if (c.destination == Destination::worker &&
         (connection_refused(c.endpoint) || fault != LinkFault::none) && sim_.rng() % 2) {
         sim_.clock.after(c.timeout, [done] { done(HttpResult(sansio::CallOutcome::not_sent)); });
         return;
     }
     sim_.clock.after(c.timeout, [done] { done(HttpResult(sansio::CallOutcome::no_response)); });
-    const bool lose = c.service != Destination::peer &&
+    const bool lose = c.destination != Destination::peer &&
                       std::uniform_real_distribution<>(0, 1)(sim_.rng) < faults.lost_responses;
     const auto deliver = [this, i, c, done, lose] {
         duplicate_request(i, c);
         const bool watch = c.target.starts_with("/watch");
-        serve(i, c, [this, i, service = c.service, done, lose, watch](const HttpResult& reply) {
+        serve(i, c, [this, i, service = c.destination, done, lose, watch](const HttpResult& reply) {
             if (lose || link_fault(links_[i], service) != LinkFault::none) return;
             const auto delay =
-                latency() + (service == Destination::state ? kv_store_delay() : Millis(0));
+                latency() + (service == Destination::kv_store ? kv_store_delay() : Millis(0));
             // Open watches of a controller that is refused alone go on waiting.
             if (watch && links_[i].refused) return;
             sim_.clock.after(delay, [done, reply] { done(reply); });
         });
     };
     if (fault == LinkFault::drop) return;
-    if (c.service == Destination::worker && sim_.clock.now() < faults.commands_delayed_until) {
+    if (c.destination == Destination::worker && sim_.clock.now() < faults.commands_delayed_until) {
         // Only commands are delayed: heartbeats and their responses go on meanwhile.
         sim_.clock.at(faults.commands_delayed_until + latency(), deliver);
         return;
@@ -108,8 +108,8 @@
 }
 
 void SimulatedNetwork::serve(std::size_t i, const HttpCall& c, FakeKvStore::Reply reply) {
-    switch (c.service) {
-        case Destination::state:
+    switch (c.destination) {
+        case Destination::kv_store:
             return serve_kv_store(i, c, std::move(reply));
         case Destination::cloud:
             return reply(cloud_.handle(c.method, c.target, c.body));
