--- a/src/config/peer_address.hpp
+++ b/src/config/peer_address.hpp
@@ -12,7 +12,7 @@
 struct PeerAddress {
     ControllerName name;
     std::string zone;
-    std::string back;  ///< "host:port" of its listener for other controllers.
+    std::string address;  ///< "host:port" of its listener for other controllers.
 };
 
 }  // namespace dunebridge::config
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -67,8 +67,8 @@
 // The leader's response, with its fencing token, is passed on unchanged.
 void HeartbeatRelay::relay(RequestId id, const std::string& body,
                            const config::PeerAddress& leader) {
-    context_.call(sansio::Destination::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
-                  [this, id](const sansio::HttpResult& result) {
+    context_.call(sansio::Destination::peer, leader.address, "POST", "/checkin", body,
+                  kRelayTimeout, [this, id](const sansio::HttpResult& result) {
                       if (result.ok()) {
                           context_.respond(id, sansio::kHttpOk, result.body);
                       } else {
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -47,7 +47,7 @@
 
 void PeerMonitor::send(const config::PeerAddress& peer, const std::string& heartbeat,
                        Millis timeout, OnSent on_sent) {
-    context_.call(sansio::Destination::peer, peer.back, "POST", "/hello", heartbeat, timeout,
+    context_.call(sansio::Destination::peer, peer.address, "POST", "/hello", heartbeat, timeout,
                   [this, name = peer.name, requested_at = context_.now(),
                    on_sent = std::move(on_sent)](const sansio::HttpResult& response) {
                       if (response.ok()) handle_response(name, response, requested_at);
