--- a/src/app/runtime.cpp
+++ b/src/app/runtime.cpp
@@ -40,18 +40,18 @@
     : config_(config),
       sockets_(config.fd_limit),
       controller_(config, seed, level),
-      service_client_(io_, sockets_.service, kIdleLimit),
-      peer_client_(io_, sockets_.peers, kIdleLimit),
-      worker_client_(io_, sockets_.commands, kIdleCommands) {
+      service_client_(io_, sockets_.service_client, kIdleLimit),
+      peer_client_(io_, sockets_.peer_client, kIdleLimit),
+      worker_client_(io_, sockets_.worker_client, kIdleCommands) {
     const auto make_handler = [this](controller::Listener plane) {
         return [this, plane](net::HttpRequest&& r) {
             post(controller::Request{r.id, plane, std::move(r.method), std::move(r.target),
                                      std::move(r.body), r.too_large});
         };
     };
-    const net::HttpServer::Limits front{sockets_.front,
+    const net::HttpServer::Limits front{sockets_.public_server,
                                         std::max(kIdlePublic, config.heartbeat_interval * 4)};
-    const net::HttpServer::Limits back{sockets_.back, kIdlePublic};
+    const net::HttpServer::Limits back{sockets_.peer_server, kIdlePublic};
     public_server_ = std::make_unique<net::HttpServer>(io_, config.public_addr, front, 0,
                                                        make_handler(controller::Listener::front));
     peer_server_ = std::make_unique<net::HttpServer>(io_, config.peer_addr, back, kPeerRequestIds,
@@ -170,7 +170,7 @@
 // A kept connection saves a new one for the next command, so commands to workers may use the
 // connections that the public server leaves free.
 void Runtime::share_sockets() {
-    worker_client_.set_max(sockets_.commands_beside(public_server_->connections()));
+    worker_client_.set_max(sockets_.max_worker_connections(public_server_->connections()));
 }
 
 asio::awaitable<void> Runtime::sweep() {
--- a/src/config/socket_budget.cpp
+++ b/src/config/socket_budget.cpp
@@ -13,16 +13,17 @@
     const auto share = [&](std::size_t divisor, std::size_t max) {
         return std::clamp(limit / divisor, kMinShare, max);
     };
-    const auto own = share(10, 24);
-    service = share(8, 64);
-    peers = share(16, 64);
-    back = share(16, 96);
-    commands = limit / 6;
-    front = limit - std::min(limit, own + service + peers + back + commands);
+    const auto reserved = share(10, 24);
+    service_client = share(8, 64);
+    peer_client = share(16, 64);
+    peer_server = share(16, 96);
+    worker_client = limit / 6;
+    public_server = limit - std::min(limit, reserved + service_client + peer_client + peer_server +
+                                                worker_client);
 }
 
-std::size_t SocketBudget::commands_beside(std::size_t front_now) const {
-    return commands + front - std::min(front, front_now);
+std::size_t SocketBudget::max_worker_connections(std::size_t public_connections) const {
+    return worker_client + public_server - std::min(public_server, public_connections);
 }
 
 }  // namespace dunebridge::config
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -156,11 +156,13 @@
 TEST(SocketBudget, SharesNeverAddUpToMoreThanTheLimit) {
     for (const std::size_t limit : {32, 100, 512, 1800, 2928, 3132, 100000}) {
         const config::SocketBudget b(limit);
-        EXPECT_LT(b.service + b.peers + b.back + b.front + b.commands, limit);
-        EXPECT_GE(std::min({b.service, b.peers, b.back, b.commands}), 2u);
-        EXPECT_GT(b.front, limit / 4);
-        EXPECT_EQ(b.commands_beside(0) + 0, b.commands + b.front);
-        EXPECT_EQ(b.commands_beside(b.front * 2), b.commands);
+        EXPECT_LT(
+            b.service_client + b.peer_client + b.peer_server + b.public_server + b.worker_client,
+            limit);
+        EXPECT_GE(std::min({b.service_client, b.peer_client, b.peer_server, b.worker_client}), 2u);
+        EXPECT_GT(b.public_server, limit / 4);
+        EXPECT_EQ(b.max_worker_connections(0) + 0, b.worker_client + b.public_server);
+        EXPECT_EQ(b.max_worker_connections(b.public_server * 2), b.worker_client);
     }
 }
 
