--- a/src/api/job_responder.cpp
+++ b/src/api/job_responder.cpp
@@ -65,7 +65,7 @@
 
 void JobResponder::respond_unavailable(const JobRequest& request) {
     const std::chrono::seconds spread(context_.random() % kRetrySpread_s);
-    context_.refuse(request.id, RefusalReason::try_again, spread);
+    context_.refuse(request.id, RefusalReason::kv_store_unavailable, spread);
 }
 
 }  // namespace dunebridge::api
--- a/src/app/operators_file.cpp
+++ b/src/app/operators_file.cpp
@@ -67,9 +67,9 @@
     const OperatorsDocument file(path);
     if (const auto line = file.text("preemption", "from")) {
         if (*line == "prod") {
-            tuning.preempts_from = wire::Priority::prod;
+            tuning.min_preempting_priority = wire::Priority::prod;
         } else if (*line == "urgent") {
-            tuning.preempts_from = wire::Priority::urgent;
+            tuning.min_preempting_priority = wire::Priority::urgent;
         } else {
             file.fail("preemption", "from", "must be prod or urgent");
         }
@@ -79,9 +79,9 @@
         const auto seconds = file.number(element, attribute, least, most);
         if (seconds) setting = from_seconds(*seconds);
     };
-    read_seconds("ranking", "slack_s", 0, 600, tuning.slack);
+    read_seconds("ranking", "slack_s", 0, 600, tuning.ranking_slack);
     read_seconds("leader", "lease_s", 0.5, 60, tuning.leader_lease);
-    read_seconds("fleet", "idle_return_s", 1, 86400, tuning.idle_return);
+    read_seconds("fleet", "idle_return_s", 1, 86400, tuning.idle_timeout);
     const auto headroom = file.number("fleet", "headroom", 1, 10);
     if (headroom) tuning.headroom = *headroom;
 }
--- a/src/app/runtime.cpp
+++ b/src/app/runtime.cpp
@@ -144,7 +144,7 @@
     for (auto& response : effects.responses) {
         const bool from_peer = response.id.get() >= kPeerRequestIds;
         auto& server = from_peer ? *peer_server_ : *public_server_;
-        server.answer(std::move(response));
+        server.respond(std::move(response));
     }
     const auto decided = now();
     for (auto& c : effects.calls) asio::co_spawn(io_, call(std::move(c), decided), asio::detached);
@@ -170,7 +170,8 @@
 // A kept connection saves a new one for the next command, so commands to workers may use the
 // connections that the public server leaves free.
 void Runtime::share_sockets() {
-    worker_client_.set_max(sockets_.max_worker_connections(public_server_->connections()));
+    worker_client_.set_max_connections(
+        sockets_.max_worker_connections(public_server_->connections()));
 }
 
 asio::awaitable<void> Runtime::sweep() {
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -67,7 +67,7 @@
     jobs_.tick();
     peer_monitor_.send_due_heartbeats();
     context_.request_wake(now + kMaxStepInterval);
-    return context_.take();
+    return context_.take_effects();
 }
 
 bool Controller::upkeep_due() {
--- a/src/kv/connection.cpp
+++ b/src/kv/connection.cpp
@@ -31,7 +31,7 @@
 }
 
 void KvConnection::track_result(const HttpResult& result, const std::string& target) {
-    const bool usable = result.answered() && result.status != kServiceUnavailable;
+    const bool usable = result.has_response() && result.status != kServiceUnavailable;
     // The first failure after a success begins the time without a response.
     if (usable || reachable_) last_success_at_ = context_.now();
     last_result_at_ = context_.now();
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -165,7 +165,7 @@
                                  std::move(response.body())};
 }
 
-void HttpClient::set_max(std::size_t max_connections) {
+void HttpClient::set_max_connections(std::size_t max_connections) {
     max_connections_ = max_connections;
     while (*open_ > max_connections_ && !idle_.empty()) close_oldest_idle();
 }
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -36,7 +36,7 @@
     /// Closes connections that have been idle for too long. To be called periodically.
     void sweep();
     /// Changes the bound; idle connections beyond it are closed.
-    void set_max(std::size_t max_connections);
+    void set_max_connections(std::size_t max_connections);
     /// Open connections, in use and idle.
     std::size_t connections() const { return *open_; }
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -238,7 +238,7 @@
         set_busy(*session, true);
         keep = !too_large && request.keep_alive();
         dispatch(session, std::move(request), too_large);
-        // answer() sets the response and cancels the wait, never in this very turn of the loop.
+        // respond() sets the response and cancels the wait, never in this very turn of the loop.
         while (!session->answer.has_value()) {
             session->response_ready.expires_at(std::chrono::steady_clock::time_point::max());
             co_await session->response_ready.async_wait(
@@ -262,12 +262,12 @@
     remove(*session);
 }
 
-void HttpServer::answer(sansio::HttpResponse&& answer) {
-    const auto it = waiting_.find(answer.id);
+void HttpServer::respond(sansio::HttpResponse&& response) {
+    const auto it = waiting_.find(response.id);
     if (it == waiting_.end()) return;
     const auto session = std::move(it->second);
     waiting_.erase(it);
-    session->answer = std::move(answer);
+    session->answer = std::move(response);
     session->response_ready.cancel();
 }
 
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -38,7 +38,7 @@
 /// loop's thread only.
 class HttpServer {
   public:
-    /// Called with each request; answer() responds to it by its id, now or later.
+    /// Called with each request; respond() responds to it by its id, now or later.
     using Handler = std::function<void(HttpRequest&&)>;
     /// Bounds on connections, and how long an idle one is kept.
     struct Limits {
@@ -55,7 +55,7 @@
     /// Starts to accept connections.
     void start();
     /// Responds to a request, if its connection is still open.
-    void answer(sansio::HttpResponse&& answer);
+    void respond(sansio::HttpResponse&& response);
     std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
     std::size_t connections() const { return sessions_.size(); }
 
--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -107,7 +107,7 @@
     for (const auto& type : input.machine_types) {
         input.shortest_boot = std::min(input.shortest_boot, Seconds(type.startup_s));
     }
-    input.idle_timeout = config_.tuning.idle_return;
+    input.idle_timeout = config_.tuning.idle_timeout;
     for (const auto& [host, machine] : state_.machines()) {
         input.machines.push_back(capacity_of(machine));
         input.placed_cores += machine.allocated.cores;
--- a/src/sansio/context.hpp
+++ b/src/sansio/context.hpp
@@ -69,7 +69,7 @@
     void clear_wake_time() { wake_ = Instant::max(); }
 
     /// The effects since the last call, which are handed over.
-    Effects take() { return std::exchange(effects_, {}); }
+    Effects take_effects() { return std::exchange(effects_, {}); }
 
   private:
     bool may_log(LogLevel level, fmt::string_view format);
--- a/src/sansio/http.hpp
+++ b/src/sansio/http.hpp
@@ -46,9 +46,9 @@
     /// A call that ended without a response.
     explicit HttpResult(CallOutcome without_response) : outcome(without_response) {}
 
-    bool answered() const { return outcome == CallOutcome::response; }
+    bool has_response() const { return outcome == CallOutcome::response; }
     bool not_sent() const { return outcome == CallOutcome::not_sent; }
-    bool ok() const { return answered() && status == kHttpOk; }
+    bool ok() const { return has_response() && status == kHttpOk; }
 };
 
 /// The response to a request that was received.
--- a/src/sansio/refusal.cpp
+++ b/src/sansio/refusal.cpp
@@ -40,7 +40,7 @@
             return "leader not reached";
         case RefusalReason::cancellations_unknown:
             return "cancellations not known";
-        case RefusalReason::try_again:
+        case RefusalReason::kv_store_unavailable:
             return "try again";
         case RefusalReason::event_loop_stalled:
             return "stood still";
--- a/src/sansio/refusal.hpp
+++ b/src/sansio/refusal.hpp
@@ -28,7 +28,7 @@
     leader_loading,  ///< This node leads and still reads the cluster state.
     leader_unreachable,
     cancellations_unknown,  ///< The leader may have missed a cancellation.
-    try_again,              ///< The key-value store does not answer, or not in time.
+    kv_store_unavailable,   ///< The key-value store does not answer, or not in time.
     event_loop_stalled,     ///< Decided before a stall of the process: no longer valid.
 
     // A worker's heartbeat that does not count.
--- a/src/scheduler/availability_estimator.cpp
+++ b/src/scheduler/availability_estimator.cpp
@@ -5,7 +5,7 @@
 namespace dunebridge::scheduler {
 
 double AvailabilityEstimator::earliest_available_s(const state::Machine& machine) const {
-    const auto slack_s = to_seconds(config_.tuning.slack);
+    const auto slack_s = to_seconds(config_.tuning.ranking_slack);
     double earliest_s = 0;
     for (const auto& [key, placement] : machine.placements) {
         const double ran_s = (placement.running_since != Instant{})
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -43,7 +43,7 @@
 }
 
 bool PendingQueue::is_high_priority(const Job& job) const {
-    return job.dependencies.effective_priority >= config_.tuning.preempts_from;
+    return job.dependencies.effective_priority >= config_.tuning.min_preempting_priority;
 }
 
 std::vector<PendingJob> PendingQueue::jobs() {
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -22,7 +22,7 @@
             io_, "127.0.0.1:0", net::HttpServer::Limits{connections, std::chrono::minutes(1)},
             n << 32, [this, n](net::HttpRequest&& r) {
                 boost::asio::post(io_, [this, n, id = r.id] {
-                    servers_[n]->answer({id, 200, {}, {}});
+                    servers_[n]->respond({id, 200, {}, {}});
                 });
             }));
         servers_.back()->start();
@@ -101,9 +101,9 @@
                 statuses.push_back(reply.status);
                 EXPECT_LE(client.connections(), 2u);
             }
-            client.set_max(1);
+            client.set_max_connections(1);
             EXPECT_EQ(client.connections(), 1u);
-            client.set_max(0);
+            client.set_max_connections(0);
             EXPECT_EQ(client.connections(), 0u);
             // No place at all: certainly not sent, and said at once.
             refused = co_await call(addresses[0]);
@@ -127,7 +127,7 @@
         [&](net::HttpRequest&& request) {
             delay.expires_after(std::chrono::milliseconds(60));
             delay.async_wait([&, id = request.id](boost::system::error_code) {
-                server->answer({id, 200, std::string(bytes, 'x'), {}});
+                server->respond({id, 200, std::string(bytes, 'x'), {}});
             });
         });
     server->start();
