--- a/src/base/resources.hpp
+++ b/src/base/resources.hpp
@@ -1,17 +1,19 @@
 /// \file
-/// What a task takes of its machine, and what a machine has to give.
+/// Resource amounts: the demand of a task and the capacity of a machine.
 #pragma once
 
 namespace dunebridge {
 
-/// Amounts of what a task uses and a machine has.
+/// Amounts of CPU cores, accelerators and memory, either needed by a task or offered by a machine.
 struct Resources {
     double cores = 0;
     double accelerators = 0;
     double ram_gb = 0;
 
+    /// Returns whether these amounts cover `need` in every dimension.
     bool holds(const Resources& need) const {
-        // Sums of decimals may fall short of the whole by a rounding error.
+        // Adding and subtracting decimal fractions leaves rounding errors; the tolerance keeps a
+        // task that fits exactly from being rejected.
         constexpr double eps = 1e-6;
         return cores + eps >= need.cores && accelerators + eps >= need.accelerators &&
                ram_gb + eps >= need.ram_gb;
--- a/src/base/token_bucket.hpp
+++ b/src/base/token_bucket.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Limits a rate: tokens that refill with time. The burst is one second's worth.
+/// A token bucket rate limiter.
 #pragma once
 
 #include <algorithm>
@@ -8,25 +8,28 @@
 
 namespace dunebridge {
 
-/// Limits a rate. The burst is one second of the rate; a larger amount passes on a full bucket and
-/// is paid off afterwards.
+/// Token bucket rate limiter with a capacity of one second's tokens. An amount larger than the
+/// capacity is admitted when the bucket is full and leaves the balance negative, so that later
+/// requests wait until it is refilled.
 class TokenBucket {
   public:
+    /// Starts with a full bucket. `per_second` is the refill rate and the capacity.
     explicit TokenBucket(double per_second) : rate_(per_second), tokens_(per_second) {}
 
-    /// Takes them all, or none.
+    /// Takes `tokens` if enough are available. Returns false, and takes none, otherwise.
     bool take(double tokens, Instant now) {
         refill(now);
-        // More than the whole burst is let through on a full bucket and paid off after.
+        // An amount above the capacity needs only a full bucket.
         if (tokens_ < std::min(tokens, rate_)) return false;
         tokens_ -= tokens;
         return true;
     }
+    /// Returns the current balance; negative after an amount larger than the capacity was taken.
     double available(Instant now) {
         refill(now);
         return tokens_;
     }
-    /// When so many will be there.
+    /// Returns the earliest time at which take() of `tokens` can succeed; `now` if it can already.
     Instant ready_at(double tokens, Instant now) const {
         const double missing = std::min(tokens, rate_) - tokens_;
         if (missing <= 0) return now;
--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Small types for ids, versions and times, so that one cannot be taken for another.
+/// Distinct types for identifiers, versions and times.
 #pragma once
 
 #include <chrono>
@@ -11,36 +11,38 @@
 
 namespace dunebridge {
 
-/// A value with a type of its own, so that ids, versions and times cannot be confused.
+/// Wraps a value in a distinct type, so that the compiler rejects, say, a job id in place of a
+/// machine name. `Tag` is never defined; it only tells the types apart.
 template <class Tag, class T>
-class Strong {
+class StrongType {
   public:
-    Strong() = default;
-    explicit Strong(T value) : value_(std::move(value)) {}
+    StrongType() = default;
+    explicit StrongType(T value) : value_(std::move(value)) {}
     const T& get() const { return value_; }
-    auto operator<=>(const Strong&) const = default;
+    auto operator<=>(const StrongType&) const = default;
 
   private:
     T value_{};
 };
 
-using JobId = Strong<struct JobIdTag, std::string>;
-using MachineName = Strong<struct MachineNameTag, std::string>;
-using ControllerName = Strong<struct ControllerNameTag, std::string>;
+using JobId = StrongType<struct JobIdTag, std::string>;
+using MachineName = StrongType<struct MachineNameTag, std::string>;
+using ControllerName = StrongType<struct ControllerNameTag, std::string>;
 
-using Term = Strong<struct TermTag, std::uint64_t>;
-using FencingToken = Strong<struct FencingTokenTag, std::uint64_t>;
-using Attempt = Strong<struct AttemptTag, std::uint64_t>;
-using KeyRevision = Strong<struct KeyRevisionTag, std::uint64_t>;
-using LeaseId = Strong<struct LeaseIdTag, std::uint64_t>;
-using CallId = Strong<struct CallIdTag, std::uint64_t>;
-using RequestId = Strong<struct RequestIdTag, std::uint64_t>;
+using Term = StrongType<struct TermTag, std::uint64_t>;
+using FencingToken = StrongType<struct FencingTokenTag, std::uint64_t>;
+using Attempt = StrongType<struct AttemptTag, std::uint64_t>;
+using KeyRevision = StrongType<struct KeyRevisionTag, std::uint64_t>;
+using LeaseId = StrongType<struct LeaseIdTag, std::uint64_t>;
+using CallId = StrongType<struct CallIdTag, std::uint64_t>;
+using RequestId = StrongType<struct RequestIdTag, std::uint64_t>;
 
 using Millis = std::chrono::milliseconds;
-/// Estimates and other spans that are computed with, in seconds and fractions of them.
+/// A duration in fractional seconds, for estimates and other calculations.
 using Seconds = std::chrono::duration<double>;
 
-/// The steady clock as the core sees it; only the I/O layer (or a test) advances it.
+/// Clock type for the time points that the controller is given. It has no now(): the I/O layer, or
+/// a test, passes the current time in.
 struct SteadyTime {
     using duration = Millis;
     using rep = duration::rep;
@@ -50,17 +52,18 @@
 };
 using Instant = SteadyTime::time_point;
 
+/// Converts seconds to milliseconds, rounded towards zero.
 inline Millis from_seconds(double s) { return Millis(static_cast<std::int64_t>(s * 1000.0)); }
 inline double to_seconds(Millis d) { return static_cast<double>(d.count()) / 1000.0; }
 
-/// The order of a worker's messages: the larger (session, sequence) is the newer one.
+/// Orders the heartbeats of a worker: the larger (agent_epoch, sequence) is the newer one.
 struct HeartbeatSequence {
     std::uint64_t agent_epoch = 0;
     std::uint64_t sequence = 0;
     auto operator<=>(const HeartbeatSequence&) const = default;
 };
 
-/// One task of a job: "req-000412/3".
+/// Identifies one task of a job by its index, written as "req-000412/3".
 struct TaskRef {
     JobId job;
     std::uint32_t index = 0;
@@ -70,10 +73,10 @@
 
 }  // namespace dunebridge
 
-/// Hashes as the value does.
+/// Hashes the wrapped value.
 template <class Tag, class T>
-struct std::hash<dunebridge::Strong<Tag, T>> {
-    std::size_t operator()(const dunebridge::Strong<Tag, T>& v) const {
+struct std::hash<dunebridge::StrongType<Tag, T>> {
+    std::size_t operator()(const dunebridge::StrongType<Tag, T>& v) const {
         return std::hash<T>{}(v.get());
     }
 };
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -5,12 +5,13 @@
 namespace dunebridge::config {
 
 Millis Config::max_cancellation_staleness() const {
-    constexpr double drift = 1.002;
+    constexpr double drift_factor = 1.002;
     constexpr Millis margin{1000};
-    const Millis longest(
-        static_cast<std::int64_t>(static_cast<double>(worker_lease.count()) * drift));
-    // Settings that leave nothing rest on the peers' heartbeats, which come every second.
-    return std::max(cancellation_deadline - longest - margin, kMinCancellationStaleness);
+    const Millis longest_lease(
+        static_cast<std::int64_t>(static_cast<double>(worker_lease.count()) * drift_factor));
+    // If the settings leave less time than the minimum, the leader relies on the heartbeats of its
+    // peers, which arrive every second, to learn of cancellations.
+    return std::max(cancellation_deadline - longest_lease - margin, kMinCancellationStaleness);
 }
 
 const Team* Config::find_team(const std::string& team) const {
--- a/src/config/peer_address.hpp
+++ b/src/config/peer_address.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Where another controller is found.
+/// The address of another controller.
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace dunebridge::config {
 
-/// Another controller: its name, its zone and its address for peers.
+/// The name, zone and address of another controller.
 struct PeerAddress {
     ControllerName name;
     std::string zone;
-    std::string address;  ///< "host:port" of its listener for other controllers.
+    std::string address;  ///< "host:port" where it listens for other controllers.
 };
 
 }  // namespace dunebridge::config
--- a/src/config/service_level_objective.hpp
+++ b/src/config/service_level_objective.hpp
@@ -1,18 +1,18 @@
 /// \file
-/// Service-level objectives that the settings name.
+/// Service-level objectives from the settings.
 #pragma once
 
 #include <string>
 
 namespace dunebridge::config {
 
-/// Something is to happen within a time, for jobs of a class or of all classes.
+/// A time limit for an event in the life of a job, for one job class or for all of them.
 struct ServiceLevelObjective {
-    /// As in the settings: `wait` (for the start), `finished` (for the end) or `guarantee` (for a
-    /// team's guaranteed quota). Objectives of other kinds are ignored.
+    /// The event, as named in the settings: `wait` (until the job starts), `finished` (until it
+    /// ends) or `guarantee` (until a team gets its guaranteed quota). Other kinds are ignored.
     std::string kind;
-    std::string job_class;  ///< Empty: not of a class.
-    double within_s = 0;    ///< 0: no time is given, the objective is ignored.
+    std::string job_class;  ///< Empty: applies to all classes.
+    double within_s = 0;    ///< Time limit in seconds; 0: none given, the objective is ignored.
 };
 
 }  // namespace dunebridge::config
--- a/src/config/socket_budget.cpp
+++ b/src/config/socket_budget.cpp
@@ -9,7 +9,7 @@
 }
 
 SocketBudget::SocketBudget(std::size_t limit) {
-    // One part in so many of the limit, up to a maximum.
+    // A fraction 1/divisor of the limit, but at least kMinShare and at most `max`.
     const auto share = [&](std::size_t divisor, std::size_t max) {
         return std::clamp(limit / divisor, kMinShare, max);
     };
--- a/src/config/tuning.hpp
+++ b/src/config/tuning.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Operators' own settings, from the optional XML file.
+/// Scheduling and scaling parameters from the operators' optional XML file.
 #pragma once
 
 #include "base/types.hpp"
@@ -7,14 +7,15 @@
 
 namespace dunebridge::config {
 
-/// The defaults are those measured in docs/measurements.md.
+/// Parameters that operators may change. docs/measurements.md has the measurements behind the
+/// defaults.
 struct Tuning {
-    /// Jobs of this priority and above preempt best-effort jobs below it.
+    /// Jobs of at least this priority preempt best-effort jobs of lower priority.
     wire::Priority min_preempting_priority = wire::Priority::urgent;
-    Millis ranking_slack{2000};  ///< Added to a machine's earliest finish when machines are ranked.
-    Millis leader_lease{3000};   ///< Time to live of the leader's lease.
-    Millis idle_timeout{35000};  ///< A machine that has been idle for so long is scaled in.
-    double headroom = 1.2;       ///< Capacity kept, as a multiple of the observed load.
+    Millis ranking_slack{2000};  ///< Added to the earliest finish of a machine in rankings.
+    Millis leader_lease{3000};   ///< Time to live of the leader lease.
+    Millis idle_timeout{35000};  ///< Machines that are idle for this long are scaled in.
+    double headroom = 1.2;       ///< Capacity to provide, as a multiple of the observed load.
 };
 
 }  // namespace dunebridge::config
