--- a/src/sansio/context.cpp
+++ b/src/sansio/context.cpp
@@ -11,8 +11,8 @@
     wall_ms_ = wall_ms;
 }
 
-Millis Context::jitter(Millis most) {
-    return Millis(std::uniform_int_distribution<std::int64_t>(0, most.count())(rng_));
+Millis Context::jitter(Millis max) {
+    return Millis(std::uniform_int_distribution<std::int64_t>(0, max.count())(rng_));
 }
 
 void Context::call(Destination destination, std::string endpoint, std::string method,
@@ -53,7 +53,7 @@
 
 bool Context::may_log(LogLevel level, fmt::string_view format) {
     if (level > level_) return false;
-    // Errors of one kind are told apart by their format.
+    // The format string identifies the kind of error.
     return level != LogLevel::error ||
            error_limit_.allow(std::string_view(format.data(), format.size()), now_);
 }
--- a/src/sansio/context.hpp
+++ b/src/sansio/context.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// The controller's interface to the outside world: the time and the random numbers that it is
-/// given, and the calls, responses and log lines that it asks for.
+/// The controller's interface to its environment: it receives the time and random numbers, and
+/// requests calls, responses, log lines and timers.
 #pragma once
 
 #include <fmt/format.h>
@@ -20,55 +20,58 @@
 
 namespace dunebridge::sansio {
 
-/// One controller's context, shared by all of its parts. It collects effects in memory; nothing is
-/// carried out before Controller::apply() returns them. Not thread-safe: one thread owns it.
+/// The context that all components of a controller share. It collects effects in memory; the I/O
+/// layer executes them after Controller::apply() has returned them. Not thread-safe.
 class Context {
   public:
-    /// Called once with the result of a call, never from within call().
+    /// Invoked once with the result of a call, never from within call().
     using Continuation = std::function<void(const HttpResult&)>;
 
     Context(std::uint64_t seed, LogLevel level) : rng_(seed), level_(level) {}
 
-    /// Sets the time of the step that begins.
+    /// Sets the time at the beginning of a step.
     void advance_clock(Instant now, std::int64_t wall_ms);
     Instant now() const { return now_; }
-    /// Milliseconds since the epoch. Only for records and comparison with others' clocks.
+    /// Returns the system time in milliseconds since the Unix epoch. Only for stored records and
+    /// for comparison with the clocks of other processes; use now() to measure time.
     std::int64_t wall_ms() const { return wall_ms_; }
 
     std::uint64_t random() { return rng_(); }
-    /// A delay drawn evenly from zero to that, both included.
-    Millis jitter(Millis most);
+    /// Returns a uniformly distributed random delay from zero to `max`, inclusive.
+    Millis jitter(Millis max);
 
-    /// Asks for a call. `then` is run with its result, within a later complete().
+    /// Requests an HTTP call. A later complete() invokes `then` with the result. `endpoint` is
+    /// empty for the key-value store and the cloud.
     void call(Destination destination, std::string endpoint, std::string method, std::string target,
               std::string body, Millis timeout, Continuation then);
-    /// Hands the result of a call to its continuation; a second result is ignored.
+    /// Passes the result of a call to its continuation. A second result for the same call is
+    /// ignored.
     void complete(CallId id, const HttpResult& result);
 
-    /// Responds to a request. Each request is to be responded to once.
+    /// Responds to a request. The caller must respond to each request exactly once.
     void respond(RequestId id, int status, std::string body);
-    /// Responds with a refusal; `extra_delay` is added to its Retry-After.
+    /// Responds with an error; `extra_delay` is added to its Retry-After.
     void refuse(RequestId id, const Refusal& refusal, std::chrono::seconds extra_delay = {});
 
-    /// Adds a line to the log. Errors with the same format are limited in rate.
+    /// Adds a line to the log. Errors with the same format string are rate-limited.
     template <class... Args>
     void log(LogLevel level, fmt::format_string<Args...> format, Args&&... args) {
         if (!may_log(level, format)) return;
         effects_.logs.push_back({level, fmt::format(format, std::forward<Args>(args)...)});
     }
 
-    /// Runs something once, not before the delay is over.
+    /// Runs `then` once, in the first step after the delay has passed.
     void after(Millis delay, std::function<void()> then);
-    /// Runs the timers that are due and asks to be woken for the next.
+    /// Runs the timers that are due and requests a wake-up for the next one.
     void run_timers();
 
-    /// Asks for a step at that moment at the latest.
+    /// Requests that a step is run no later than `at`.
     void request_wake(Instant at);
-    /// The earliest moment at which a step was asked for.
+    /// Returns the earliest requested wake-up; Instant::max() if there is none.
     Instant wake() const { return wake_; }
     void clear_wake_time() { wake_ = Instant::max(); }
 
-    /// The effects since the last call, which are handed over.
+    /// Returns the effects collected since the previous call and clears them.
     Effects take_effects() { return std::exchange(effects_, {}); }
 
   private:
--- a/src/sansio/effects.hpp
+++ b/src/sansio/effects.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What one step of the controller asks the I/O layer to do.
+/// The output of one step of the controller, for the I/O layer to execute.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace dunebridge::sansio {
 
-/// Calls to make, responses to send and lines to log, each in the order in which they were decided.
+/// Calls to make, responses to send and lines to log, each list in the order of the decisions.
 struct Effects {
     std::vector<HttpCall> calls;
     std::vector<HttpResponse> responses;
--- a/src/sansio/http.hpp
+++ b/src/sansio/http.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// HTTP as the controller sees it: calls that it wants made, what came of them, and its responses
-/// to requests. Plain values; the I/O layer (or a test) does the work.
+/// HTTP messages of the controller as plain values: outgoing calls, their results, and responses to
+/// incoming requests. The I/O layer, or a test, does the actual transfer.
 #pragma once
 
 #include <chrono>
@@ -14,14 +14,15 @@
 
 inline constexpr int kHttpOk = 200;
 
-/// Which kind of server a call goes to.
+/// The kind of server that a call is sent to.
 enum class Destination : std::uint8_t { kv_store, cloud, worker, peer };
 
-/// A call that the I/O layer is to make.
+/// An HTTP request for the I/O layer to send.
 struct HttpCall {
     CallId id;
     Destination destination = Destination::kv_store;
-    /// Address of a worker or a peer; empty for the others, which have one configured address each.
+    /// Address of the worker or peer; empty for the key-value store and the cloud, whose addresses
+    /// are configured.
     std::string endpoint;
     std::string method;
     std::string target;
@@ -29,21 +30,21 @@
     Millis timeout{1000};
 };
 
-/// How a call ended. Without a response the request may have been carried out, or may yet be; one
-/// that was not sent certainly has not been and will not be.
+/// How a call ended. After `no_response` the server may have executed the request, or may still do
+/// so. After `not_sent` it certainly has not and will not.
 enum class CallOutcome : std::uint8_t { response, no_response, not_sent };
 
 /// The result of a call.
 struct HttpResult {
     CallOutcome outcome = CallOutcome::no_response;
-    int status = 0;  ///< Of a response only; else 0.
+    int status = 0;  ///< HTTP status; 0 without a response.
     std::string body;
 
     HttpResult() = default;
-    /// A response.
+    /// The server responded.
     HttpResult(int http_status, std::string response_body)
         : outcome(CallOutcome::response), status(http_status), body(std::move(response_body)) {}
-    /// A call that ended without a response.
+    /// The call ended without a response, as `without_response` says.
     explicit HttpResult(CallOutcome without_response) : outcome(without_response) {}
 
     bool has_response() const { return outcome == CallOutcome::response; }
@@ -51,12 +52,12 @@
     bool ok() const { return has_response() && status == kHttpOk; }
 };
 
-/// The response to a request that was received.
+/// The response to an incoming request.
 struct HttpResponse {
     RequestId id;
     int status = kHttpOk;
     std::string body;
-    /// When the client should try again; zero: not said.
+    /// Value of the Retry-After header; zero: the header is omitted.
     std::chrono::seconds retry_after{0};
 };
 
--- a/src/sansio/log.hpp
+++ b/src/sansio/log.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Log records, and the limit on how many errors of one kind are written.
+/// Log records, and the rate limit on errors.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,20 @@
 
 namespace dunebridge::sansio {
 
-/// Severity of a log record, the most severe first.
+/// Severity of a log record, most severe first.
 enum class LogLevel : std::uint8_t { error, info, debug };
 
-/// One line of the log, without time and node.
+/// One log line without its timestamp and node name, which the I/O layer adds.
 struct LogRecord {
     LogLevel level = LogLevel::info;
     std::string text;
 };
 
-/// Limits the rate of errors of one kind, so that whoever sends malformed messages cannot fill the
-/// log.
+/// Limits the rate of errors of one kind, so that a client that sends malformed messages cannot
+/// fill the log.
 class LogRateLimit {
   public:
-    /// Counts one more error of that kind; false if it is not to be written.
+    /// Counts an error of the given kind. Returns false if it must not be logged.
     bool allow(std::string_view kind, Instant now);
 
   private:
--- a/src/sansio/refusal.hpp
+++ b/src/sansio/refusal.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Why a request is refused. The only place that maps a reason to its text, its HTTP status and its
-/// Retry-After.
+/// Error responses to requests: the only place that maps the reason for an error to its message,
+/// its HTTP status and its Retry-After header.
 #pragma once
 
 #include <chrono>
@@ -11,46 +11,46 @@
 
 namespace dunebridge::sansio {
 
-/// Why a request is refused. Refusal maps it to text, status and Retry-After.
+/// The reason for refusing a request.
 enum class RefusalReason : std::uint8_t {
-    // The request itself is wrong.
+    // The request is invalid and must not be repeated unchanged.
     body_too_large,
-    malformed,  ///< Its body cannot be decoded; the detail says why.
+    malformed,  ///< The body cannot be decoded; the detail says why.
     no_such_path,
     no_such_job,
     method_not_allowed,
-    never_runnable,  ///< A job that can never run, or cannot be kept; the detail says why.
+    never_runnable,  ///< The job can never run or cannot be stored; the detail says why.
 
-    // It may be repeated, here or elsewhere.
+    // The request may be retried, at this controller or at another one.
     not_ready,
     not_the_leader,
     no_leader,
-    leader_loading,  ///< This node leads and still reads the cluster state.
+    leader_loading,  ///< This controller is the leader and is still loading the cluster state.
     leader_unreachable,
     cancellations_unknown,  ///< The leader may have missed a cancellation.
-    kv_store_unavailable,   ///< The key-value store does not answer, or not in time.
-    event_loop_stalled,     ///< Decided before a stall of the process: no longer valid.
+    kv_store_unavailable,   ///< The key-value store did not respond in time.
+    event_loop_stalled,  ///< The response was decided before the process stalled and is outdated.
 
-    // A worker's heartbeat that does not count.
-    heartbeat_out_of_order,  ///< A newer request of the worker was handled before.
-    heartbeat_superseded,    ///< Newer status of the worker is known.
+    // The heartbeat of a worker is ignored.
+    heartbeat_out_of_order,  ///< A newer heartbeat of the worker has been handled already.
+    heartbeat_superseded,    ///< A newer status of the worker is known.
     machine_released,        ///< The machine has been returned to the cloud.
     too_many_unknown_workers,
 };
 
-/// A reason, with the detail that some reasons have.
+/// The reason for refusing a request, with an optional detail message.
 class Refusal {
   public:
-    /// Implicit: a reason alone is a refusal.
+    /// Converts implicitly, so that a reason can be passed where a Refusal is expected.
     Refusal(RefusalReason reason) : reason_(reason) {}  // NOLINT(google-explicit-constructor)
     Refusal(RefusalReason reason, std::string detail)
         : reason_(reason), detail_(std::move(detail)) {}
 
     RefusalReason reason() const { return reason_; }
-    /// The text of the response's `error` field: the detail if there is one.
+    /// Returns the `error` field of the response: the detail, or a fixed message without one.
     std::string_view text() const;
     int http_status() const;
-    /// Zero: the request should not be repeated.
+    /// Returns the value of the Retry-After header; zero if the request should not be retried.
     std::chrono::seconds retry_after() const;
 
   private:
--- a/src/sansio/timers.hpp
+++ b/src/sansio/timers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Functions that are run once, after a delay.
+/// One-shot timers.
 #pragma once
 
 #include <functional>
@@ -10,14 +10,15 @@
 
 namespace dunebridge::sansio {
 
-/// Timers on the controller's clock. Those due at the same moment run in the order in which they
-/// were added.
+/// One-shot timers on the controller's clock. Timers due at the same time run in the order in which
+/// they were added.
 class Timers {
   public:
+    /// Adds a timer that invokes `run` at the first run_due() from `due` on.
     void add(Instant due, std::function<void()> run);
-    /// Runs all that are due. They may add further timers; those that are due run as well.
+    /// Runs all timers that are due, including due timers that are added meanwhile.
     void run_due(Instant now);
-    /// When the next one is due; none if there is no timer.
+    /// Returns when the next timer is due, or nullopt if there is none.
     std::optional<Instant> next_due() const;
 
   private:
