--- a/src/net/asio.hpp
+++ b/src/net/asio.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// Boost.Asio, with what Boost 1.74's awaitable.hpp forgets to include: it uses std::exchange.
+/// Includes Boost.Asio after <utility>: awaitable.hpp of Boost 1.74 uses std::exchange without
+/// including its header.
 #pragma once
 
 #include <utility>
-// The blank line keeps the order.
+// The blank line below separates the include blocks, so that the formatter keeps their order.
 
 #include <boost/asio.hpp>
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -17,41 +17,43 @@
 
 namespace {
 constexpr std::size_t kIdlePerAddress = 8;
-// A deadline that is noticed so late shows that the event loop stalled; a response that came before
-// the deadline may still be read within the grace time.
+// If a deadline timer fires this late, the event loop has stalled. A response that arrived before
+// the deadline may still be unread, so the call gets the grace period to read it.
 constexpr auto kStallThreshold = std::chrono::milliseconds(500);
 constexpr Millis kGraceAfterStall{50};
-constexpr std::size_t kInitialBuffer = std::size_t{2} * 1024;  // most responses fit
+constexpr std::size_t kInitialBuffer = std::size_t{2} * 1024;  // fits most responses
 constexpr std::size_t kLargestKeptBuffer = std::size_t{64} * 1024;
-// The protocol does not limit watches; this bound keeps a broken peer from filling the memory.
+// The protocol does not limit the size of watch responses; this limit keeps a faulty server from
+// exhausting the memory.
 constexpr std::uint64_t kResponseLimit = std::uint64_t{16} * 1024 * 1024;
 }  // namespace
 
 struct HttpClient::Connection {
-    Connection(asio::io_context& io, std::shared_ptr<std::size_t> count)
-        : open(std::move(count)), socket(io), deadline(io) {
-        ++*open;
+    Connection(asio::io_context& io, std::shared_ptr<std::size_t> open_connections)
+        : open_count(std::move(open_connections)), socket(io), deadline(io) {
+        ++*open_count_count;
         buffer.reserve(kInitialBuffer);
     }
-    ~Connection() { --*open; }
+    ~Connection() { --*open_count_count; }
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
     Connection(Connection&&) = delete;
     Connection& operator=(Connection&&) = delete;
 
-    std::shared_ptr<std::size_t> open;
+    std::shared_ptr<std::size_t> open_count;
     tcp::socket socket;
     asio::steady_timer deadline;
     boost::beast::flat_buffer buffer;
-    std::chrono::steady_clock::time_point used{};
+    std::chrono::steady_clock::time_point idle_since{};
     bool sent = false;
 
     void close() {
         error_code ec;
         socket.close(ec);
     }
-    // The peer may have closed a kept connection. A request written to it would get no response,
-    // and the caller would have to assume that it may have been executed.
+    // Returns false if the server has closed the idle connection or sent unexpected data. A request
+    // written to a closed connection would get no response, and the caller would have to assume
+    // that it may have been executed.
     bool is_usable() {
         char byte = 0;
         const auto n = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -62,31 +64,32 @@
 HttpClient::ConnectionPtr HttpClient::take_idle(const std::string& address) {
     const auto it = by_address_.find(address);
     if (it == by_address_.end()) return nullptr;
-    ConnectionPtr found;
-    while (!found && !it->second.empty()) {
-        const auto place = it->second.back();
+    ConnectionPtr usable;
+    while (!usable && !it->second.empty()) {
+        const auto position = it->second.back();
         it->second.pop_back();
-        auto connection = std::move(place->second);
-        idle_.erase(place);
-        if (connection->socket.is_open() && connection->is_usable()) found = std::move(connection);
+        auto connection = std::move(position->second);
+        idle_.erase(position);
+        if (connection->socket.is_open() && connection->is_usable()) usable = std::move(connection);
     }
     if (it->second.empty()) by_address_.erase(it);
-    return found;
+    return usable;
 }
 
 HttpClient::ConnectionPtr HttpClient::new_connection() {
-    if (*open_ >= max_connections_) close_oldest_idle();
-    if (*open_ >= max_connections_) return nullptr;
-    return std::make_shared<Connection>(io_, open_);
+    if (*open_count_ >= max_connections_) close_oldest_idle();
+    if (*open_count_ >= max_connections_) return nullptr;
+    return std::make_shared<Connection>(io_, open_count_);
 }
 
-void HttpClient::keep(std::string address, ConnectionPtr connection) {
-    auto& places = by_address_[address];
-    if (places.size() >= kIdlePerAddress) return;
-    connection->used = std::chrono::steady_clock::now();
-    // The buffer of a large response is not kept for the small ones that follow.
+void HttpClient::add_idle(std::string address, ConnectionPtr connection) {
+    auto& idle_at_address = by_address_[address];
+    if (idle_at_address.size() >= kIdlePerAddress) return;
+    connection->idle_since = std::chrono::steady_clock::now();
+    // Releases the buffer of a large response; most of the following ones are small.
     if (connection->buffer.capacity() > kLargestKeptBuffer) connection->buffer = {};
-    places.push_back(idle_.emplace(idle_.end(), std::move(address), std::move(connection)));
+    idle_at_address.push_back(
+        idle_.emplace(idle_.end(), std::move(address), std::move(connection)));
 }
 
 void HttpClient::close_oldest_idle() {
@@ -97,16 +100,17 @@
     idle_.pop_front();
 }
 
-// Closes the connection when the timeout is over, which ends the call.
+// Closes the connection when the timeout expires, which ends the call.
 void HttpClient::set_deadline(const ConnectionPtr& connection, Millis timeout) {
     connection->deadline.expires_after(timeout);
     connection->deadline.async_wait([weak = std::weak_ptr(connection)](error_code ec) {
         const auto c = weak.lock();
         const auto late = c ? std::chrono::steady_clock::now() - c->deadline.expiry()
                             : std::chrono::steady_clock::duration(-1);
-        // A timer that fired just as the call ended must not close the connection of the next call.
+        // The timer may fire just as its call ends; it must not close the connection on the next
+        // call, which has moved the deadline.
         if (ec || late < std::chrono::steady_clock::duration(0)) return;
-        // After a stall the response may already lie in the socket's buffer.
+        // After a stall the response may already be in the receive buffer of the socket.
         if (late >= kStallThreshold) {
             set_deadline(c, kGraceAfterStall);
         } else {
@@ -123,18 +127,18 @@
     if (!connection) co_return sansio::HttpResult(sansio::CallOutcome::not_sent);
     connection->sent = false;
     set_deadline(connection, timeout);
-    sansio::HttpResult reply;
+    sansio::HttpResult result;
     try {
-        reply = co_await exchange(connection, address, std::move(method), std::move(target),
-                                  std::move(body));
+        result = co_await exchange(connection, address, std::move(method), std::move(target),
+                                   std::move(body));
     } catch (const std::exception&) {
         connection->close();
-        reply = sansio::HttpResult(connection->sent ? sansio::CallOutcome::no_response
-                                                    : sansio::CallOutcome::not_sent);
+        result = sansio::HttpResult(connection->sent ? sansio::CallOutcome::no_response
+                                                     : sansio::CallOutcome::not_sent);
     }
     connection->deadline.expires_at(std::chrono::steady_clock::time_point::max());
-    if (connection->socket.is_open()) keep(std::move(address), std::move(connection));
-    co_return reply;
+    if (connection->socket.is_open()) add_idle(std::move(address), std::move(connection));
+    co_return result;
 }
 
 asio::awaitable<sansio::HttpResult> HttpClient::exchange(ConnectionPtr connection,
@@ -167,12 +171,12 @@
 
 void HttpClient::set_max_connections(std::size_t max_connections) {
     max_connections_ = max_connections;
-    while (*open_ > max_connections_ && !idle_.empty()) close_oldest_idle();
+    while (*open_count_ > max_connections_ && !idle_.empty()) close_oldest_idle();
 }
 
 void HttpClient::sweep() {
-    const auto limit = std::chrono::steady_clock::now() - idle_limit_;
-    while (!idle_.empty() && idle_.front().second->used < limit) close_oldest_idle();
+    const auto oldest = std::chrono::steady_clock::now() - idle_limit_;
+    while (!idle_.empty() && idle_.front().second->idle_since < oldest) close_oldest_idle();
 }
 
 }  // namespace dunebridge::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -15,29 +15,31 @@
 
 namespace {
 constexpr auto kSweepEvery = std::chrono::seconds(2);
-// For the first request of a connection to arrive, and for a response to be read by the client.
+// Time limit for the first request of a connection to arrive, and for the client to read a
+// response.
 constexpr auto kClientTimeout = std::chrono::seconds(10);
 constexpr std::size_t kHeaderLimit = std::size_t{8} * 1024;
 constexpr std::size_t kLargestKeptBuffer = std::size_t{16} * 1024;
 constexpr int kAcceptBatch = 64;
-constexpr std::size_t kInitialBuffer = std::size_t{2} * 1024;  // most requests fit
+constexpr std::size_t kInitialBuffer = std::size_t{2} * 1024;  // fits most requests
 constexpr int kListenBacklog = 16384;  // every worker may reconnect within the same second
-// Shares of the connections: fresh, worker, user.
+// Share of the connections of each group, in the order of Group.
 constexpr std::array<double, 3> kShares{0.05, 0.75, 0.2};
-// Above this part of all connections, groups over their share keep no connection alive.
-constexpr double kCrowdedShare = 0.9;
+// When more than this fraction of all connections is in use, groups that exceed their share do not
+// keep connections alive.
+constexpr double kHighUtilization = 0.9;
 }  // namespace
 
 struct HttpServer::Session {
     explicit Session(tcp::socket s) : socket(std::move(s)), response_ready(socket.get_executor()) {}
     tcp::socket socket;
     asio::steady_timer response_ready;
-    std::optional<sansio::HttpResponse> answer;
-    std::chrono::steady_clock::time_point active = std::chrono::steady_clock::now();
-    Group group = Group::fresh;
-    bool busy = false;     // has a request without a response
-    bool writing = false;  // the response is being written
-    Sessions::iterator place;
+    std::optional<sansio::HttpResponse> response;
+    std::chrono::steady_clock::time_point last_activity = std::chrono::steady_clock::now();
+    Group group = Group::unclassified;
+    bool busy = false;                 // is handling a request
+    bool writing = false;              // is writing the response
+    Sessions::iterator idle_position;  // in the idle list of the group; valid unless busy
 
     void close() {
         error_code ec;
@@ -73,7 +75,7 @@
         tcp::socket socket(io_);
         co_await acceptor_.async_accept(socket, asio::redirect_error(asio::use_awaitable, ec));
         if (ec) {
-            // Most likely out of sockets: leave the queue to the kernel for a moment.
+            // Most likely no file descriptor is left. The kernel queues connections meanwhile.
             asio::steady_timer pause(io_, std::chrono::milliseconds(50));
             co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             continue;
@@ -84,8 +86,9 @@
     }
 }
 
-// Accepts queued connections in batches. When every worker reconnects, one connection in each turn
-// of a busy event loop is too slow, and clients that gave up meanwhile would fill the queue.
+// Accepts queued connections in batches. When every worker reconnects, accepting one connection per
+// turn of a busy event loop is too slow, and connections whose clients have given up would fill the
+// queue.
 void HttpServer::accept_queued() {
     error_code ec;
     for (int n = 0; n < kAcceptBatch; ++n) {
@@ -97,16 +100,17 @@
 }
 
 void HttpServer::admit(tcp::socket socket) {
-    if (sessions_.size() >= limits_.connections && !evict_idle()) return;  // closes it
+    if (sessions_.size() >= limits_.connections && !evict_idle())
+        return;  // the destructor closes the socket
     error_code ec;
     socket.set_option(tcp::no_delay(true), ec);
     auto session = std::make_shared<Session>(std::move(socket));
     sessions_.emplace(session.get(), session);
-    add_to_group(*session, Group::fresh);
+    add_to_group(*session, Group::unclassified);
     asio::co_spawn(io_, serve(session), asio::detached);
 }
 
-double HttpServer::share_in_use(Group group) const {
+double HttpServer::share_usage(Group group) const {
     const auto g = static_cast<std::size_t>(group);
     return static_cast<double>(counts_[g]) /
            (kShares[g] * static_cast<double>(limits_.connections));
@@ -114,20 +118,20 @@
 
 bool HttpServer::over_share(Group group) const {
     return static_cast<double>(sessions_.size()) >
-               kCrowdedShare * static_cast<double>(limits_.connections) &&
-           share_in_use(group) > 1;
+               kHighUtilization * static_cast<double>(limits_.connections) &&
+           share_usage(group) > 1;
 }
 
-// Closes the longest idle connection of the group that is furthest over its share. Returns false if
-// every connection has a request without a response.
+// Closes the longest idle connection of the group, among those with idle connections, that uses the
+// largest fraction of its share. Returns false if no connection is idle.
 bool HttpServer::evict_idle() {
     Session* oldest = nullptr;
-    double most = 0;
+    double max_usage = 0;
     for (std::size_t g = 0; g < kGroups; ++g) {
-        const auto full = share_in_use(static_cast<Group>(g));
-        if (idle_[g].empty() || (oldest && full <= most)) continue;
+        const auto usage = share_usage(static_cast<Group>(g));
+        if (idle_[g].empty() || (oldest && usage <= max_usage)) continue;
         oldest = idle_[g].front();
-        most = full;
+        max_usage = usage;
     }
     if (!oldest) return false;
     oldest->close();
@@ -140,7 +144,7 @@
     ++counts_[static_cast<std::size_t>(group)];
     auto& idle = idle_[static_cast<std::size_t>(group)];
     session.busy = false;
-    session.place = idle.insert(idle.end(), &session);
+    session.idle_position = idle.insert(idle.end(), &session);
 }
 
 void HttpServer::set_busy(Session& session, bool busy) {
@@ -148,13 +152,13 @@
     session.busy = busy;
     auto& idle = idle_[static_cast<std::size_t>(session.group)];
     if (busy) {
-        idle.erase(session.place);
+        idle.erase(session.idle_position);
     } else {
-        session.place = idle.insert(idle.end(), &session);
+        session.idle_position = idle.insert(idle.end(), &session);
     }
 }
 
-// Forgets the session; the coroutine that serves it ends by itself.
+// Removes the session from the lists. The coroutine that serves it ends by itself.
 void HttpServer::remove(Session& session) {
     if (sessions_.erase(&session) == 0) return;
     set_busy(session, true);
@@ -170,18 +174,20 @@
     }
 }
 
-// Slow clients are bounded in time, as are connections that nobody uses.
+// Closes connections of clients that are too slow, and connections that have been idle for too
+// long.
 void HttpServer::close_expired() {
     const auto now = std::chrono::steady_clock::now();
     for (auto& [key, weak] : sessions_) {
         const auto session = weak.lock();
         if (!session || (session->busy && !session->writing)) continue;
-        const bool impatient = session->writing || session->group == Group::fresh;
-        if (now - session->active > (impatient ? kClientTimeout : limits_.idle)) session->close();
+        const bool awaits_client = session->writing || session->group == Group::unclassified;
+        if (now - session->last_activity > (awaits_client ? kClientTimeout : limits_.idle))
+            session->close();
     }
 }
 
-// Connections are counted by their last request.
+// Moves the session to the group that its latest request belongs to.
 void HttpServer::change_group(const std::shared_ptr<Session>& session, std::string_view target) {
     const auto group = target == "/checkin" ? Group::worker : Group::user;
     if (group == session->group) return;
@@ -198,22 +204,22 @@
     in.target = std::string(request.target());
     in.body = std::move(request.body());
     in.too_large = too_large;
-    session->answer.reset();
+    session->response.reset();
     waiting_.emplace(in.id, session);
     handler_(std::move(in));
 }
 
-HttpServer::Response HttpServer::response_to(sansio::HttpResponse&& answer, bool keep) {
+HttpServer::Response HttpServer::to_beast_response(sansio::HttpResponse&& from, bool keep_alive) {
     constexpr unsigned version = 11;  // HTTP/1.1
     Response response;
     response.version(version);
-    response.result(static_cast<unsigned>(answer.status));
+    response.result(static_cast<unsigned>(from.status));
     response.set(http::field::content_type, "application/msgpack");
-    if (answer.retry_after.count() > 0) {
-        response.set(http::field::retry_after, std::to_string(answer.retry_after.count()));
+    if (from.retry_after.count() > 0) {
+        response.set(http::field::retry_after, std::to_string(from.retry_after.count()));
     }
-    response.body() = std::move(answer.body);
-    response.keep_alive(keep);
+    response.body() = std::move(from.body);
+    response.keep_alive(keep_alive);
     response.prepare_payload();
     return response;
 }
@@ -221,8 +227,8 @@
 asio::awaitable<void> HttpServer::serve(std::shared_ptr<Session> session) {
     boost::beast::flat_buffer buffer;
     buffer.reserve(kInitialBuffer);
-    bool keep = true;
-    while (keep) {
+    bool keep_alive = true;
+    while (keep_alive) {
         http::request_parser<http::string_body> parser;
         parser.body_limit(wire::kMaxBody);
         parser.header_limit(kHeaderLimit);
@@ -230,25 +236,26 @@
         co_await http::async_read(session->socket, buffer, parser,
                                   asio::redirect_error(asio::use_awaitable, ec));
         const bool too_large = ec == http::error::body_limit || ec == http::error::header_limit;
-        // The session may have been evicted while the request was on its way.
+        // The session may have been evicted before the request arrived.
         if ((ec && !too_large) || !sessions_.contains(session.get())) break;
-        session->active = std::chrono::steady_clock::now();
+        session->last_activity = std::chrono::steady_clock::now();
         auto& request = parser.get();
         change_group(session, std::string_view(request.target().data(), request.target().size()));
         set_busy(*session, true);
-        keep = !too_large && request.keep_alive();
+        keep_alive = !too_large && request.keep_alive();
         dispatch(session, std::move(request), too_large);
-        // respond() sets the response and cancels the wait, never in this very turn of the loop.
-        while (!session->answer.has_value()) {
+        // respond() sets the response and cancels the wait. It cannot run between the check and the
+        // start of the wait.
+        while (!session->response.has_value()) {
             session->response_ready.expires_at(std::chrono::steady_clock::time_point::max());
             co_await session->response_ready.async_wait(
                 asio::redirect_error(asio::use_awaitable, ec));
         }
-        keep = keep && !over_share(session->group);
-        auto answer = std::exchange(session->answer, std::nullopt);
-        if (!answer) break;
-        const auto response = response_to(std::move(*answer), keep);
-        session->active = std::chrono::steady_clock::now();
+        keep_alive = keep_alive && !over_share(session->group);
+        auto result = std::exchange(session->response, std::nullopt);
+        if (!result) break;
+        const auto response = to_beast_response(std::move(*result), keep_alive);
+        session->last_activity = std::chrono::steady_clock::now();
         session->writing = true;
         co_await http::async_write(session->socket, response,
                                    asio::redirect_error(asio::use_awaitable, ec));
@@ -267,7 +274,7 @@
     if (it == waiting_.end()) return;
     const auto session = std::move(it->second);
     waiting_.erase(it);
-    session->answer = std::move(response);
+    session->response = std::move(response);
     session->response_ready.cancel();
 }
 
