--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,5 +1,5 @@
 /// \file
-/// The program: command line, logging, and the event loop. See README.md.
+/// The program: parses the command line, sets up logging and runs the event loop. See README.md.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -38,17 +38,17 @@
     CLI::App app{"dunebridge: a cluster scheduler", "dunebridge"};
     std::string config_path;
     std::string operators_path;
-    bool check = false;
+    bool check_only = false;
     app.add_option("--config", config_path, "The platform's settings file (TOML)")->required();
-    app.add_option("--operators", operators_path, "The operators' own settings (XML)");
-    app.add_flag("--check-config", check, "Check the settings and exit");
+    app.add_option("--operators", operators_path, "The operators' settings file (XML)");
+    app.add_flag("--check-config", check_only, "Check the settings files and exit");
     app.set_version_flag("--version", std::string("dunebridge ") + DUNEBRIDGE_VERSION);
     CLI11_PARSE(app, argc, argv);
 
     const auto level = log_level();
     set_up_logging(level);
     const auto config = dunebridge::app::load_settings(config_path, operators_path);
-    if (check) {
+    if (check_only) {
         std::cout << config_path << ": ok\n";
         return 0;
     }
--- a/src/app/operators_file.cpp
+++ b/src/app/operators_file.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The document with checked access to its attributes.
+/// The parsed operators' file, with range checks on its attributes.
 class OperatorsDocument {
   public:
     explicit OperatorsDocument(const std::string& path) : file_(path) {
@@ -20,20 +20,22 @@
         if (!root()) throw SettingsError(path, "the root element must be <dunebridge>");
     }
 
-    std::optional<std::string> text(const char* element, const char* attribute) const {
+    // Returns nullopt if the attribute is absent.
+    std::optional<std::string> string(const char* element, const char* attribute) const {
         const auto found = root().child(element).attribute(attribute);
         if (!found) return std::nullopt;
         return found.value();
     }
 
-    std::optional<double> number(const char* element, const char* attribute, double least,
-                                 double most) const {
-        const auto value = text(element, attribute);
+    // Returns nullopt if the attribute is absent. Throws SettingsError if it is out of range.
+    std::optional<double> number(const char* element, const char* attribute, double min,
+                                 double max) const {
+        const auto value = string(element, attribute);
         if (!value) return std::nullopt;
         const auto parsed = parse_number(*value);
-        if (!parsed || *parsed < least || *parsed > most) {
+        if (!parsed || *parsed < min || *parsed > max) {
             fail(element, attribute,
-                 "must be a number from " + std::to_string(least) + " to " + std::to_string(most));
+                 "must be a number from " + std::to_string(min) + " to " + std::to_string(max));
         }
         return parsed;
     }
@@ -47,10 +49,10 @@
     pugi::xml_node root() const { return document_.child("dunebridge"); }
 
     static std::optional<double> parse_number(const std::string& text) {
-        std::size_t used = 0;
+        std::size_t parsed_length = 0;
         try {
-            const double number = std::stod(text, &used);
-            if (used != text.size() || std::isnan(number)) return std::nullopt;
+            const double number = std::stod(text, &parsed_length);
+            if (parsed_length != text.size() || std::isnan(number)) return std::nullopt;
             return number;
         } catch (const std::exception&) {
             return std::nullopt;
@@ -65,18 +67,18 @@
 
 void read_operators_file(const std::string& path, config::Tuning& tuning) {
     const OperatorsDocument file(path);
-    if (const auto line = file.text("preemption", "from")) {
-        if (*line == "prod") {
+    if (const auto priority = file.string("preemption", "from")) {
+        if (*priority == "prod") {
             tuning.min_preempting_priority = wire::Priority::prod;
-        } else if (*line == "urgent") {
+        } else if (*priority == "urgent") {
             tuning.min_preempting_priority = wire::Priority::urgent;
         } else {
             file.fail("preemption", "from", "must be prod or urgent");
         }
     }
-    const auto read_seconds = [&](const char* element, const char* attribute, double least,
-                                  double most, Millis& setting) {
-        const auto seconds = file.number(element, attribute, least, most);
+    const auto read_seconds = [&](const char* element, const char* attribute, double min,
+                                  double max, Millis& setting) {
+        const auto seconds = file.number(element, attribute, min, max);
         if (seconds) setting = from_seconds(*seconds);
     };
     read_seconds("ranking", "slack_s", 0, 600, tuning.ranking_slack);
--- a/src/app/operators_file.hpp
+++ b/src/app/operators_file.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The operators' optional XML file.
+/// Reads the operators' optional settings file (XML).
 #pragma once
 
 #include <optional>
@@ -10,7 +10,8 @@
 
 namespace dunebridge::app {
 
-/// Reads the file over the defaults. Throws SettingsError that names the file and the attribute.
+/// Overwrites the members of `tuning` that the file sets. Throws SettingsError, which names the
+/// file and the attribute. Example of a file:
 ///
 ///     <dunebridge>
 ///       <preemption from="urgent"/><ranking slack_s="2"/><leader lease_s="3"/>
--- a/src/app/runtime.hpp
+++ b/src/app/runtime.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The event loop around the controller.
+/// The event loop that drives the controller.
 #pragma once
 
 #include <spdlog/common.h>
@@ -14,30 +14,32 @@
 
 namespace dunebridge::app {
 
-/// The level of the logging library that stands for ours.
+/// Converts a log level to that of spdlog.
 spdlog::level::level_enum to_spdlog(sansio::LogLevel level);
 
-/// Carries requests and results of calls to the controller, and its effects to the network and the
-/// log.
+/// Event loop that passes requests and call results to the controller and executes the effects that
+/// it returns: HTTP calls, responses and log lines.
 ///
-/// Single-threaded: commands that arrive in one turn of the loop are applied as one batch. After a
-/// stall of the process nothing that was decided before it is carried out, since another controller
-/// may lead meanwhile.
+/// Single-threaded. Commands that arrive in the same turn of the loop are applied as one batch.
+/// Effects decided before a stall of the process are discarded, since another controller may have
+/// become leader meanwhile.
 class Runtime {
   public:
+    /// Binds both servers. `seed` seeds the random numbers of the controller. Throws
+    /// boost::system::system_error.
     Runtime(const config::Config& config, sansio::LogLevel level, std::uint64_t seed);
-    /// Serves until the process ends.
+    /// Runs the event loop until the process ends.
     void run();
 
   private:
     void post(controller::Command&& command);
     void step();
-    void carry_out(sansio::Effects&& effects);
-    void refuse_effects(sansio::Effects&& effects);
+    void execute(sansio::Effects&& effects);
+    void discard_effects(sansio::Effects&& effects);
     void arm_timer(Instant wake);
     void catch_up_after_stall(Millis late);
-    boost::asio::awaitable<void> call(sansio::HttpCall call, Instant decided);
-    void share_sockets();
+    boost::asio::awaitable<void> call(sansio::HttpCall request, Instant decided_at);
+    void update_worker_connection_limit();
     boost::asio::awaitable<void> sweep();
     static Instant now();
 
@@ -53,7 +55,7 @@
     std::vector<controller::Command> queue_;
     bool step_posted_ = false;
     boost::asio::steady_timer timer_{io_};
-    Instant timer_at_{};  // when the timer fires; zero: not set
+    Instant timer_expiry_{};  // expiry of the timer; zero: not set
 };
 
 }  // namespace dunebridge::app
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Bounds that only keep out what is certainly a mistake.
+// Generous upper bounds that reject only obvious mistakes.
 constexpr double kMaxSeconds = 1e6;
 constexpr double kMaxAmount = 1e9;
 constexpr double kMaxRate = 1e7;
@@ -21,18 +21,18 @@
     const auto amount = [](const TomlTable& team, const char* key) {
         return team.number_or(key, 0, 0, kMaxAmount);
     };
-    for (const auto& team : cluster.list("teams")) {
-        config.teams.push_back({team.text("name"), amount(team, "cpus"), amount(team, "gpus"),
+    for (const auto& team : cluster.tables("teams")) {
+        config.teams.push_back({team.string("name"), amount(team, "cpus"), amount(team, "gpus"),
                                 amount(team, "cpus_max"), amount(team, "gpus_max")});
     }
 }
 
 void read_objectives(const TomlTable& cluster, config::Config& config) {
-    for (const auto& table : cluster.list("objectives")) {
+    for (const auto& table : cluster.tables("objectives")) {
         config::ServiceLevelObjective objective;
-        objective.kind = table.text("kind");
+        objective.kind = table.string("kind");
         objective.within_s = table.number_or("within_s", 0, 0, kMaxSeconds);
-        objective.job_class = table.text_or_empty("class");
+        objective.job_class = table.string_or_empty("class");
         config.objectives.push_back(std::move(objective));
     }
 }
@@ -43,24 +43,24 @@
     config.cancellation_deadline = from_seconds(workers.number("cancel_s", 0.1, kMaxSeconds));
 }
 
-// The limits that will be in force later default to those of today.
-config::KvLimits read_kv_limits(const TomlTable& service) {
-    constexpr double most_value_kb = 1e6;
-    constexpr double most_operations = 1e6;
-    config::KvLimits::Set today;
-    today.rps = service.number("rps", 1, kMaxRate);
-    today.write_rps = service.number("write_rps", 1, kMaxRate);
-    today.value_kb = service.number("value_kb", 1, most_value_kb);
-    today.txn_ops = static_cast<std::size_t>(service.number("txn_ops", 4, most_operations));
-    if (!service.has("next")) return config::KvLimits(today);
-    const auto table = service.sub("next");
-    auto next = today;
-    next.rps = table.number_or("rps", today.rps, 1, kMaxRate);
-    next.write_rps = table.number_or("write_rps", today.write_rps, 1, kMaxRate);
-    next.value_kb = table.number_or("value_kb", today.value_kb, 1, most_value_kb);
+// The next limits default to the current ones.
+config::KvLimits read_kv_limits(const TomlTable& kv_store) {
+    constexpr double max_value_kb = 1e6;
+    constexpr double max_txn_ops = 1e6;
+    config::KvLimits::Set current;
+    current.rps = kv_store.number("rps", 1, kMaxRate);
+    current.write_rps = kv_store.number("write_rps", 1, kMaxRate);
+    current.value_kb = kv_store.number("value_kb", 1, max_value_kb);
+    current.txn_ops = static_cast<std::size_t>(kv_store.number("txn_ops", 4, max_txn_ops));
+    if (!kv_store.has("next")) return config::KvLimits(current);
+    const auto next_table = kv_store.table("next");
+    auto next = current;
+    next.rps = next_table.number_or("rps", current.rps, 1, kMaxRate);
+    next.write_rps = next_table.number_or("write_rps", current.write_rps, 1, kMaxRate);
+    next.value_kb = next_table.number_or("value_kb", current.value_kb, 1, max_value_kb);
     next.txn_ops = static_cast<std::size_t>(
-        table.number_or("txn_ops", static_cast<double>(today.txn_ops), 4, most_operations));
-    return {today, next};
+        next_table.number_or("txn_ops", static_cast<double>(current.txn_ops), 4, max_txn_ops));
+    return {current, next};
 }
 
 void read_cloud(const TomlTable& cloud, config::Config& config) {
@@ -75,49 +75,49 @@
 }
 
 void read_cluster(const TomlTable& cluster, config::Config& config) {
-    constexpr double most_skew_ms = 1e6;
-    config.zones = cluster.texts("zones");
-    const double skew_ms = cluster.number_or("skew_ms", 0, 0, most_skew_ms);
+    constexpr double max_skew_ms = 1e6;
+    config.zones = cluster.strings("zones");
+    const double skew_ms = cluster.number_or("skew_ms", 0, 0, max_skew_ms);
     config.clock_skew = Millis(static_cast<std::int64_t>(skew_ms));
     read_teams(cluster, config);
     read_objectives(cluster, config);
-    read_workers(cluster.sub("workers"), config);
-    config.kv_limits = read_kv_limits(cluster.sub("state"));
-    read_cloud(cluster.sub("cloud"), config);
-    read_quota(cluster.sub("quota"), config);
+    read_workers(cluster.table("workers"), config);
+    config.kv_limits = read_kv_limits(cluster.table("state"));
+    read_cloud(cluster.table("cloud"), config);
+    read_quota(cluster.table("quota"), config);
 }
 
-config::Config read_platform(const std::string& path) {
+config::Config read_platform_settings(const std::string& path) {
     toml::table root;
     try {
         root = toml::parse_file(path);
     } catch (const toml::parse_error& e) {
-        // A file that cannot be read has no line to name.
+        // If the file cannot be read, the error has no line number.
         const auto line = e.source().begin.line;
         const auto where = line > 0 ? ": line " + std::to_string(line) : std::string();
         throw SettingsError(path + where, std::string(e.description()));
     }
     const TomlTable top(root, path, "");
     config::Config config;
-    config.name = ControllerName(top.text("label"));
-    config.zone = top.text("domain");
+    config.name = ControllerName(top.string("label"));
+    config.zone = top.string("domain");
     config.public_addr = top.address("public_addr");
     config.peer_addr = top.address("back");
-    for (const auto& k : top.list("known")) {
+    for (const auto& peer : top.tables("known")) {
         config.peers.push_back(
-            {ControllerName(k.text("label")), k.text("domain"), k.address("addr")});
+            {ControllerName(peer.string("label")), peer.string("domain"), peer.address("addr")});
     }
-    const auto external = top.sub("external");
+    const auto external = top.table("external");
     config.cloud_addr = external.address("cloud");
     config.kv_store_addr = external.address("state");
-    read_cluster(top.sub("cluster"), config);
+    read_cluster(top.table("cluster"), config);
     return config;
 }
 
 }  // namespace
 
 config::Config load_settings(const std::string& path, const std::string& operators_path) {
-    auto config = read_platform(path);
+    auto config = read_platform_settings(path);
     if (!operators_path.empty()) read_operators_file(operators_path, config.tuning);
     return config;
 }
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Settings: the platform's TOML file and the operators' optional XML file. This is the only place
-/// that knows the names of the platform's settings.
+/// Loads the platform's settings file (TOML) and the operators' optional settings file (XML). Only
+/// settings.cpp depends on the names of the platform's settings.
 #pragma once
 
 #include <string>
@@ -10,7 +10,8 @@
 
 namespace dunebridge::app {
 
-/// Reads both files. Throws SettingsError. If `operators_path` is empty, the defaults hold.
+/// Reads both files. An empty `operators_path` leaves the operators' settings at their defaults.
+/// Throws SettingsError.
 config::Config load_settings(const std::string& path, const std::string& operators_path);
 
 }  // namespace dunebridge::app
--- a/src/app/settings_error.hpp
+++ b/src/app/settings_error.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The error for a settings file that cannot be used.
+/// The exception for invalid settings files.
 #pragma once
 
 #include <stdexcept>
@@ -8,18 +8,18 @@
 
 namespace dunebridge::app {
 
-/// A settings file is missing, malformed, or has a field that is missing or out of its range.
-/// what() is one line for the operator that names the file and the field.
+/// Thrown if a settings file is missing or malformed, or a field in it is missing or out of range.
+/// what() is a single line that names the file and the field.
 class SettingsError : public std::runtime_error {
   public:
     /// The file cannot be read or parsed as a whole.
     SettingsError(const std::string& file, const std::string& problem)
         : std::runtime_error(file + ": " + problem) {}
-    /// The field, given by its whole path, has a problem.
+    /// A field, given by its full path, is invalid.
     SettingsError(const std::string& file, std::string field, const std::string& problem)
         : std::runtime_error(file + ": " + field + ": " + problem), field_(std::move(field)) {}
 
-    /// Empty if the problem is with the file as a whole.
+    /// Returns the full path of the field; empty if the error concerns the whole file.
     const std::string& field() const { return field_; }
 
   private:
--- a/src/app/toml_table.hpp
+++ b/src/app/toml_table.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Checked access to the fields of a TOML table.
+/// Access to the fields of a TOML table with checks of type and range.
 #pragma once
 
 #include <toml++/toml.h>
@@ -11,26 +11,31 @@
 
 namespace dunebridge::app {
 
-/// A view of one table of a settings file. Every accessor throws SettingsError that names the file
-/// and the field if the field is missing, of another type, or out of its range.
+/// A view of a table in a settings file. If a field is missing, has the wrong type or is out of
+/// range, the accessors throw SettingsError, which names the file and the field, unless stated
+/// otherwise.
 class TomlTable {
   public:
-    /// `path` is prefixed to the names of fields in errors; the table must outlive the view.
+    /// `path` is prepended to field names in errors. The table must outlive the view.
     TomlTable(const toml::table& table, std::string file, std::string path);
 
     bool has(const char* key) const { return table_.contains(key); }
-    /// A text that is not empty.
-    std::string text(const char* key) const;
-    /// The text if there is one; empty otherwise, whatever else is there.
-    std::string text_or_empty(const char* key) const;
-    double number(const char* key, double least, double most) const;
-    double number_or(const char* key, double fallback, double least, double most) const;
-    /// IP:PORT.
+    /// Returns a non-empty string.
+    std::string string(const char* key) const;
+    /// Returns a string, or "" if the field is missing or has another type. Never throws.
+    std::string string_or_empty(const char* key) const;
+    /// Returns a number from `min` to `max`, inclusive.
+    double number(const char* key, double min, double max) const;
+    /// Like number(), but returns `fallback` if the field is missing.
+    double number_or(const char* key, double fallback, double min, double max) const;
+    /// Returns an address of the form HOST:PORT. Only the port is checked.
     std::string address(const char* key) const;
-    TomlTable sub(const char* key) const;
-    /// An array of tables; empty if there is none.
-    std::vector<TomlTable> list(const char* key) const;
-    std::vector<std::string> texts(const char* key) const;
+    /// Returns a nested table.
+    TomlTable table(const char* key) const;
+    /// Returns an array of tables; empty if the field is missing.
+    std::vector<TomlTable> tables(const char* key) const;
+    /// Returns an array of strings.
+    std::vector<std::string> strings(const char* key) const;
 
   private:
     [[noreturn]] void fail(const char* key, const std::string& problem) const;
