--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -68,7 +68,7 @@
     job_service_.tick();
     peer_monitor_.send_due_heartbeats();
     context_.request_wake(now + kMaxStepInterval);
-    return context_.take();
+    return context_.take_effects();
 }
 
 bool Controller::maintenance_due() {
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -69,8 +69,8 @@
 // Returns the leader's response, including its fencing token, to the worker unchanged.
 void HeartbeatRelay::relay(RequestId id, const std::string& body,
                            const config::PeerAddress& leader) {
-    context_.call(sansio::Destination::peer, leader.back, "POST", "/checkin", body, kRelayTimeout,
-                  [this, id](const sansio::HttpResult& result) {
+    context_.call(sansio::Destination::peer, leader.address, "POST", "/checkin", body,
+                  kRelayTimeout, [this, id](const sansio::HttpResult& result) {
                       if (result.ok()) {
                           context_.respond(id, sansio::kHttpOk, result.body);
                       } else {
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -48,7 +48,7 @@
 
 void PeerMonitor::send(const config::PeerAddress& peer, const std::string& heartbeat,
                        Millis timeout, OnCompleted on_completed) {
-    context_.call(sansio::Destination::peer, peer.back, "POST", "/hello", heartbeat, timeout,
+    context_.call(sansio::Destination::peer, peer.address, "POST", "/hello", heartbeat, timeout,
                   [this, name = peer.name, requested_at = context_.now(),
                    on_completed = std::move(on_completed)](const sansio::HttpResult& response) {
                       if (response.ok()) handle_response(name, response, requested_at);
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -22,7 +22,7 @@
             io_, "127.0.0.1:0", net::HttpServer::Limits{connections, std::chrono::minutes(1)},
             n << 32, [this, n](net::HttpRequest&& r) {
                 boost::asio::post(io_, [this, n, id = r.id] {
-                    servers_[n]->answer({id, 200, {}, {}});
+                    servers_[n]->respond({id, 200, {}, {}});
                 });
             }));
         servers_.back()->start();
@@ -101,9 +101,9 @@
                 statuses.push_back(reply.status);
                 EXPECT_LE(client.connections(), 2u);
             }
-            client.set_max(1);
+            client.set_max_connections(1);
             EXPECT_EQ(client.connections(), 1u);
-            client.set_max(0);
+            client.set_max_connections(0);
             EXPECT_EQ(client.connections(), 0u);
             // No place at all: certainly not sent, and said at once.
             refused = co_await call(addresses[0]);
@@ -127,7 +127,7 @@
         [&](net::HttpRequest&& request) {
             delay.expires_after(std::chrono::milliseconds(60));
             delay.async_wait([&, id = request.id](boost::system::error_code) {
-                server->answer({id, 200, std::string(bytes, 'x'), {}});
+                server->respond({id, 200, std::string(bytes, 'x'), {}});
             });
         });
     server->start();
@@ -156,11 +156,13 @@
 TEST(SocketBudget, SharesNeverAddUpToMoreThanTheLimit) {
     for (const std::size_t limit : {32, 100, 512, 1800, 2928, 3132, 100000}) {
         const config::SocketBudget b(limit);
-        EXPECT_LT(b.service + b.peers + b.back + b.front + b.commands, limit);
-        EXPECT_GE(std::min({b.service, b.peers, b.back, b.commands}), 2u);
-        EXPECT_GT(b.front, limit / 4);
-        EXPECT_EQ(b.commands_beside(0) + 0, b.commands + b.front);
-        EXPECT_EQ(b.commands_beside(b.front * 2), b.commands);
+        EXPECT_LT(
+            b.service_client + b.peer_client + b.peer_server + b.public_server + b.worker_client,
+            limit);
+        EXPECT_GE(std::min({b.service_client, b.peer_client, b.peer_server, b.worker_client}), 2u);
+        EXPECT_GT(b.public_server, limit / 4);
+        EXPECT_EQ(b.max_worker_connections(0) + 0, b.worker_client + b.public_server);
+        EXPECT_EQ(b.max_worker_connections(b.public_server * 2), b.worker_client);
     }
 }
 
