--- a/src/api/ancestor_check.cpp
+++ b/src/api/ancestor_check.cpp
@@ -9,32 +9,32 @@
 
 AncestorCheck::AncestorCheck(sansio::Context& context, kv::KvClient& kv_client,
                              const config::Config& config, TokenBucket& read_budget,
-                             OnChecked on_checked)
+                             OnFinished on_finished)
     : context_(context),
       kv_client_(kv_client),
       config_(config),
       read_budget_(read_budget),
-      on_checked_(std::move(on_checked)) {}
+      on_finished_(std::move(on_finished)) {}
 
-Millis AncestorCheck::fresh_for() const {
-    return config_.cancellation_deadline / kAncestorCheckFreshPart;
+Millis AncestorCheck::validity() const {
+    return config_.cancellation_deadline / kAncestorCheckValidityDivisor;
 }
 
-bool AncestorCheck::is_fresh(const JobId& job) const {
-    const auto it = none_terminal_at_.find(job);
-    return it != none_terminal_at_.end() && context_.now() - it->second < fresh_for();
+bool AncestorCheck::has_valid_check(const JobId& job) const {
+    const auto it = last_passed_at_.find(job);
+    return it != last_passed_at_.end() && context_.now() - it->second < validity();
 }
 
-void AncestorCheck::forget_stale() {
-    std::erase_if(none_terminal_at_, [this](const auto& entry) {
-        return context_.now() - entry.second >= fresh_for();
+void AncestorCheck::remove_expired() {
+    std::erase_if(last_passed_at_, [this](const auto& entry) {
+        return context_.now() - entry.second >= validity();
     });
 }
 
 void AncestorCheck::start(const JobId& job, const std::vector<JobId>& ancestors) {
-    forget_stale();
-    if (checks_.size() >= kMaxAncestorChecks && !checks_.contains(job)) {
-        on_checked_(job, Outcome::unavailable, {});
+    remove_expired();
+    if (checks_.size() >= kMaxConcurrentAncestorChecks && !checks_.contains(job)) {
+        on_finished_(job, Outcome::unavailable, {});
         return;
     }
     if (checks_.try_emplace(job, Check{ancestors, context_.now()}).second) check_next(job);
@@ -45,7 +45,7 @@
     if (it == checks_.end()) return;
     const auto& unchecked = it->second.unchecked;
     if (unchecked.empty()) {
-        none_terminal_at_[job] = it->second.started_at;
+        last_passed_at_[job] = it->second.started_at;
         finish(job, Outcome::none_terminal, {});
         return;
     }
@@ -88,7 +88,7 @@
 
 void AncestorCheck::finish(const JobId& job, Outcome outcome, const std::vector<JobId>& terminal) {
     checks_.erase(job);
-    on_checked_(job, outcome, terminal);
+    on_finished_(job, outcome, terminal);
 }
 
 }  // namespace dunebridge::api
--- a/src/api/ancestor_check.hpp
+++ b/src/api/ancestor_check.hpp
@@ -30,15 +30,15 @@
     };
     /// Called once at the end of each check, possibly from within start(). `terminal` holds
     /// ancestors that are terminal if the outcome says that there are some; not always all of them.
-    using OnChecked =
+    using OnFinished =
         std::function<void(const JobId& job, Outcome, const std::vector<JobId>& terminal)>;
 
     /// `read_budget` is shared with the caller, which owns it; each transaction takes one token.
     AncestorCheck(sansio::Context& context, kv::KvClient& kv_client, const config::Config& config,
-                  TokenBucket& read_budget, OnChecked on_checked);
+                  TokenBucket& read_budget, OnFinished on_finished);
 
     /// Whether a check of the job that found no terminal ancestor is recent enough.
-    bool is_fresh(const JobId& job) const;
+    bool has_valid_check(const JobId& job) const;
     /// Begins a check of the job; does nothing if one is under way.
     void start(const JobId& job, const std::vector<JobId>& ancestors);
 
@@ -51,17 +51,17 @@
     void check_next(const JobId& job);
     void handle_result(const JobId& job, std::size_t checked, const kv::TransactionResult& result);
     void finish(const JobId& job, Outcome outcome, const std::vector<JobId>& terminal);
-    void forget_stale();
-    Millis fresh_for() const;
+    void remove_expired();
+    Millis validity() const;
 
     sansio::Context& context_;
     kv::KvClient& kv_client_;
     const config::Config& config_;
     TokenBucket& read_budget_;
-    OnChecked on_checked_;
+    OnFinished on_finished_;
     std::map<JobId, Check> checks_;
     /// When the last check began that found no terminal ancestor of the job.
-    std::map<JobId, Instant> none_terminal_at_;
+    std::map<JobId, Instant> last_passed_at_;
 };
 
 }  // namespace dunebridge::api
--- a/src/api/ancestor_check_queue.cpp
+++ b/src/api/ancestor_check_queue.cpp
@@ -14,36 +14,37 @@
       cache_(cache),
       responder_(responder),
       pipeline_(pipeline),
-      check_(
-          context, kv_client, config, read_budget,
-          [this](const JobId& job, AncestorCheck::Outcome outcome,
-                 const std::vector<JobId>& terminal) { handle_checked(job, outcome, terminal); }) {}
+      check_(context, kv_client, config, read_budget,
+             [this](const JobId& job, AncestorCheck::Outcome outcome,
+                    const std::vector<JobId>& terminal) {
+                 handle_check_finished(job, outcome, terminal);
+             }) {}
 
 bool AncestorCheckQueue::needs_check(JobRequest& request) const {
     if (request.ancestors_checked) return false;
-    const auto preconditions = kOwnPreconditions + cache_.ancestors(request.job).size();
+    const auto preconditions = kOwnJobPreconditions + cache_.ancestors(request.job).size();
     if (preconditions <= kv_client_.max_preconditions()) return false;
-    request.ancestors_checked = check_.is_fresh(request.job);
+    request.ancestors_checked = check_.has_valid_check(request.job);
     return !request.ancestors_checked;
 }
 
-void AncestorCheckQueue::hold(JobRequest request) {
+void AncestorCheckQueue::push(JobRequest request) {
     const auto job = request.job;
-    held_[job].push_back(std::move(request));
+    waiting_[job].push_back(std::move(request));
     check_.start(job, cache_.ancestors(job));
 }
 
-void AncestorCheckQueue::drop_if(const DropRequest& drop) {
-    for (auto& [job, requests] : held_) std::erase_if(requests, drop);
-    std::erase_if(held_, [](const auto& entry) { return entry.second.empty(); });
+void AncestorCheckQueue::drop_if(const DropPredicate& drop) {
+    for (auto& [job, requests] : waiting_) std::erase_if(requests, drop);
+    std::erase_if(waiting_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-void AncestorCheckQueue::handle_checked(const JobId& job, AncestorCheck::Outcome outcome,
-                                        const std::vector<JobId>& terminal) {
-    const auto it = held_.find(job);
-    if (it == held_.end()) return;
+void AncestorCheckQueue::handle_check_finished(const JobId& job, AncestorCheck::Outcome outcome,
+                                               const std::vector<JobId>& terminal) {
+    const auto it = waiting_.find(job);
+    if (it == waiting_.end()) return;
     auto requests = std::move(it->second);
-    held_.erase(it);
+    waiting_.erase(it);
     for (auto& request : requests) {
         switch (outcome) {
             case AncestorCheck::Outcome::unavailable:
--- a/src/api/ancestor_check_queue.hpp
+++ b/src/api/ancestor_check_queue.hpp
@@ -30,19 +30,19 @@
     /// valid, notes so in the request and returns false.
     bool needs_check(JobRequest& request) const;
     /// Holds the request until its job's ancestors have been checked.
-    void hold(JobRequest request);
-    void drop_if(const DropRequest& drop);
+    void push(JobRequest request);
+    void drop_if(const DropPredicate& drop);
 
   private:
-    void handle_checked(const JobId& job, AncestorCheck::Outcome outcome,
-                        const std::vector<JobId>& terminal);
+    void handle_check_finished(const JobId& job, AncestorCheck::Outcome outcome,
+                               const std::vector<JobId>& terminal);
 
     kv::KvClient& kv_client_;
     JobCache& cache_;
     JobResponder& responder_;
     RequestPipeline& pipeline_;
     AncestorCheck check_;
-    std::map<JobId, std::vector<JobRequest>> held_;
+    std::map<JobId, std::vector<JobRequest>> waiting_;
 };
 
 }  // namespace dunebridge::api
--- a/src/api/ancestor_resolver.cpp
+++ b/src/api/ancestor_resolver.cpp
@@ -16,14 +16,13 @@
     kv_client_.get_each(kv::kTerminalPrefix, std::move(ids), kReadTimeout,
                         [this, terminal = std::move(terminal),
                          request = std::move(request)](const kv::MultiGetResult& rows) mutable {
-                            const auto resolution = take_records(request, terminal, rows);
-                            proceed(std::move(request), resolution);
+                            const auto resolution = apply_terminal_records(request, terminal, rows);
+                            handle_resolution(std::move(request), resolution);
                         });
 }
 
-AncestorResolver::Resolution AncestorResolver::take_records(JobRequest& request,
-                                                            const std::vector<JobId>& terminal,
-                                                            const kv::MultiGetResult& rows) {
+AncestorResolver::Resolution AncestorResolver::apply_terminal_records(
+    JobRequest& request, const std::vector<JobId>& terminal, const kv::MultiGetResult& rows) {
     auto resolution = Resolution::all_done;
     for (const auto& id : terminal) {
         const auto row = rows.entries.find(kv::terminal_key(id));
@@ -38,7 +37,7 @@
     return resolution;
 }
 
-void AncestorResolver::proceed(JobRequest request, Resolution resolution) {
+void AncestorResolver::handle_resolution(JobRequest request, Resolution resolution) {
     if (resolution == Resolution::unavailable) {
         responder_.respond_unavailable(request);
     } else if (request.kind == RequestKind::submission) {
--- a/src/api/ancestor_resolver.hpp
+++ b/src/api/ancestor_resolver.hpp
@@ -26,9 +26,9 @@
     enum class Resolution : std::uint8_t { all_done, some_cancelled, unavailable };
 
     /// Removes the ancestors that are done from the request and from the cache.
-    Resolution take_records(JobRequest& request, const std::vector<JobId>& terminal,
-                            const kv::MultiGetResult& rows);
-    void proceed(JobRequest request, Resolution resolution);
+    Resolution apply_terminal_records(JobRequest& request, const std::vector<JobId>& terminal,
+                                      const kv::MultiGetResult& rows);
+    void handle_resolution(JobRequest request, Resolution resolution);
 
     kv::KvClient& kv_client_;
     JobCache& cache_;
--- a/src/api/batch_preconditions.cpp
+++ b/src/api/batch_preconditions.cpp
@@ -25,7 +25,7 @@
 }
 
 bool BatchPreconditions::add(const JobRequest& request, KeyRevision job_record) {
-    if (!added_.insert(request.job).second) return false;
+    if (!jobs_.insert(request.job).second) return false;
     preconditions_.push_back({kv::job_key(request.job), job_record});
     require_not_terminal(request.job);
     for (const auto& id : guarded_ancestors(request, cache_)) require_not_terminal(id);
@@ -37,8 +37,8 @@
     preconditions_.push_back({kv::terminal_key(job), KeyRevision()});
 }
 
-std::size_t BatchPreconditions::size_with(const JobRequest& request) const {
-    return preconditions_.size() + kOwnPreconditions + guarded_ancestors(request, cache_).size();
+std::size_t BatchPreconditions::max_size_with(const JobRequest& request) const {
+    return preconditions_.size() + kOwnJobPreconditions + guarded_ancestors(request, cache_).size();
 }
 
 }  // namespace dunebridge::api
--- a/src/api/batch_preconditions.hpp
+++ b/src/api/batch_preconditions.hpp
@@ -37,7 +37,7 @@
     bool add(const JobRequest& request, KeyRevision job_record);
 
     /// How many there would be, at most, with this request.
-    std::size_t size_with(const JobRequest& request) const;
+    std::size_t max_size_with(const JobRequest& request) const;
     const std::vector<wire::Precondition>& all() const { return preconditions_; }
 
   private:
@@ -45,7 +45,7 @@
 
     const JobCache& cache_;
     std::vector<wire::Precondition> preconditions_;
-    std::set<JobId> added_;         ///< Jobs of requests.
+    std::set<JobId> jobs_;          ///< Jobs of requests.
     std::set<JobId> not_terminal_;  ///< Jobs whose terminal records are ruled out.
 };
 
--- a/src/api/cancellation_service.cpp
+++ b/src/api/cancellation_service.cpp
@@ -20,7 +20,7 @@
 
 void CancellationService::cancel(JobRequest request) {
     if (responder_.respond_if_terminal(request)) return;
-    pipeline_.look_up(std::move(request), JobLookup::FirstRead::terminal_record);
+    pipeline_.look_up(std::move(request), JobLookup::RecordKind::terminal_record);
 }
 
 void CancellationService::commit(JobRequest request) {
@@ -44,7 +44,7 @@
         responder_.respond_terminal(std::move(request), cancelled);
     } else if (result.outcome == kv::TransactionOutcome::conflict &&
                ++request.attempts <= kMaxAttempts) {
-        pipeline_.look_up(std::move(request), JobLookup::FirstRead::terminal_record);
+        pipeline_.look_up(std::move(request), JobLookup::RecordKind::terminal_record);
     } else {
         responder_.respond_unavailable(request);
     }
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -31,36 +31,36 @@
     lookup->deadline = deadline;
     lookup->on_finished = std::move(on_finished);
     for (const auto& id : dependencies) {
-        if (!cache_.known_done(id)) lookup->unread.push_back(id.get());
+        if (!cache_.is_known_done(id)) lookup->ids_to_read.push_back(id.get());
     }
     read_job_records(lookup);
 }
 
 void DependencyLookup::read_job_records(const SharedLookup& lookup) {
-    kv_client_.get_each(kv::kJobPrefix, lookup->unread, kReadTimeout,
+    kv_client_.get_each(kv::kJobPrefix, lookup->ids_to_read, kReadTimeout,
                         [this, lookup](const kv::MultiGetResult& rows) {
-                            if (!rows.available || is_late(*lookup)) {
+                            if (!rows.available || is_past_deadline(*lookup)) {
                                 finish(lookup, Outcome::unavailable);
                             } else {
-                                take_job_records(lookup, rows);
+                                handle_job_records(lookup, rows);
                             }
                         });
 }
 
-void DependencyLookup::take_job_records(const SharedLookup& lookup,
-                                        const kv::MultiGetResult& rows) {
+void DependencyLookup::handle_job_records(const SharedLookup& lookup,
+                                          const kv::MultiGetResult& rows) {
     auto& ancestors = lookup->result.ancestors;
-    for (const auto& id : lookup->unread) {
+    for (const auto& id : lookup->ids_to_read) {
         const auto row = rows.entries.find(kv::kJobPrefix + id);
         if (row == rows.entries.end()) {
-            lookup->without_record.push_back(id);
+            lookup->ids_without_record.push_back(id);
             continue;
         }
         ancestors.emplace_back(id);
         try {
             const auto job = kv::decode_job_record(row->second.value);
             ancestors.insert(ancestors.end(), job.ancestors.begin(), job.ancestors.end());
-            if (job.dependency_parts > 0) lookup->with_parts.emplace_back(id);
+            if (job.dependency_parts > 0) lookup->jobs_with_parts.emplace_back(id);
         } catch (const wire::DecodeError& e) {
             fail_on_invalid_record(lookup, row->second.key, e);
             return;
@@ -72,11 +72,11 @@
 // A job record is removed only after the terminal record exists: a job that has neither was never
 // accepted.
 void DependencyLookup::read_terminal_records(const SharedLookup& lookup) {
-    kv_client_.get_each(kv::kTerminalPrefix, lookup->without_record, kReadTimeout,
+    kv_client_.get_each(kv::kTerminalPrefix, lookup->ids_without_record, kReadTimeout,
                         [this, lookup](const kv::MultiGetResult& rows) {
-                            if (!rows.available || is_late(*lookup)) {
+                            if (!rows.available || is_past_deadline(*lookup)) {
                                 finish(lookup, Outcome::unavailable);
-                            } else if (!take_terminal_records(*lookup, rows)) {
+                            } else if (!handle_terminal_records(*lookup, rows)) {
                                 finish(lookup, Outcome::never_accepted);
                             } else {
                                 read_next_parts(lookup);
@@ -84,8 +84,8 @@
                         });
 }
 
-bool DependencyLookup::take_terminal_records(Lookup& lookup, const kv::MultiGetResult& rows) {
-    for (const auto& id : lookup.without_record) {
+bool DependencyLookup::handle_terminal_records(Lookup& lookup, const kv::MultiGetResult& rows) {
+    for (const auto& id : lookup.ids_without_record) {
         const auto row = rows.entries.find(kv::kTerminalPrefix + id);
         if (row == rows.entries.end()) return false;
         const auto terminal = kv::decode_terminal_record(row->second.value);
@@ -100,24 +100,24 @@
 }
 
 void DependencyLookup::read_next_parts(const SharedLookup& lookup) {
-    if (lookup->with_parts.empty()) {
+    if (lookup->jobs_with_parts.empty()) {
         finish(lookup, Outcome::found);
         return;
     }
-    const auto job = lookup->with_parts.back();
-    lookup->with_parts.pop_back();
+    const auto job = lookup->jobs_with_parts.back();
+    lookup->jobs_with_parts.pop_back();
     kv_client_.list(kv::dependency_prefix(job), [this, lookup](const kv::ListResult& parts) {
-        if (!parts.available || is_late(*lookup)) {
+        if (!parts.available || is_past_deadline(*lookup)) {
             finish(lookup, Outcome::unavailable);
         } else {
-            take_parts(lookup, parts);
+            handle_parts(lookup, parts);
         }
     });
 }
 
-void DependencyLookup::take_parts(const SharedLookup& lookup, const kv::ListResult& parts) {
+void DependencyLookup::handle_parts(const SharedLookup& lookup, const kv::ListResult& parts) {
     try {
-        const auto jobs = jobs_in_parts(parts.entries);
+        const auto jobs = jobs_in_dependency_parts(parts.entries);
         auto& ancestors = lookup->result.ancestors;
         ancestors.insert(ancestors.end(), jobs.begin(), jobs.end());
     } catch (const wire::DecodeError& e) {
@@ -137,12 +137,12 @@
 void DependencyLookup::finish(const SharedLookup& lookup, Outcome outcome) {
     auto& ancestors = lookup->result.ancestors;
     sort_unique(ancestors);
-    std::erase_if(ancestors, [this](const JobId& id) { return cache_.known_done(id); });
+    std::erase_if(ancestors, [this](const JobId& id) { return cache_.is_known_done(id); });
     lookup->result.outcome = outcome;
     lookup->on_finished(lookup->result);
 }
 
-std::vector<JobId> jobs_in_parts(const std::vector<kv::Entry>& parts) {
+std::vector<JobId> jobs_in_dependency_parts(const std::vector<kv::Entry>& parts) {
     std::vector<JobId> jobs;
     for (const auto& row : parts) {
         const auto part = kv::decode_dependency_part(row.value);
--- a/src/api/dependency_lookup.hpp
+++ b/src/api/dependency_lookup.hpp
@@ -42,25 +42,25 @@
     /// One lookup under way; owned by the continuations of its calls.
     struct Lookup {
         DependencyResult result;
-        std::vector<std::string> unread;          ///< Ids whose job records are to be read.
-        std::vector<std::string> without_record;  ///< Ids that have no job record.
-        std::vector<JobId> with_parts;  ///< Jobs whose ancestors are in records of their own.
+        std::vector<std::string> ids_to_read;         ///< Ids whose job records are to be read.
+        std::vector<std::string> ids_without_record;  ///< Ids that have no job record.
+        std::vector<JobId> jobs_with_parts;  ///< Jobs whose ancestors are in records of their own.
         Instant deadline{};
         OnFinished on_finished;
     };
     using SharedLookup = std::shared_ptr<Lookup>;
 
     void read_job_records(const SharedLookup& lookup);
-    void take_job_records(const SharedLookup& lookup, const kv::MultiGetResult& rows);
+    void handle_job_records(const SharedLookup& lookup, const kv::MultiGetResult& rows);
     void read_terminal_records(const SharedLookup& lookup);
     /// Returns whether each job without a job record has a terminal record.
-    bool take_terminal_records(Lookup& lookup, const kv::MultiGetResult& rows);
+    bool handle_terminal_records(Lookup& lookup, const kv::MultiGetResult& rows);
     void read_next_parts(const SharedLookup& lookup);
-    void take_parts(const SharedLookup& lookup, const kv::ListResult& parts);
+    void handle_parts(const SharedLookup& lookup, const kv::ListResult& parts);
     void fail_on_invalid_record(const SharedLookup& lookup, const std::string& key,
                                 const wire::DecodeError& error);
     void finish(const SharedLookup& lookup, DependencyResult::Outcome outcome);
-    bool is_late(const Lookup& lookup) const { return context_.now() > lookup.deadline; }
+    bool is_past_deadline(const Lookup& lookup) const { return context_.now() > lookup.deadline; }
 
     sansio::Context& context_;
     kv::KvClient& kv_client_;
@@ -68,6 +68,6 @@
 };
 
 /// The jobs named in a job's dependency records, sorted, each once. Throws wire::DecodeError.
-std::vector<JobId> jobs_in_parts(const std::vector<kv::Entry>& parts);
+std::vector<JobId> jobs_in_dependency_parts(const std::vector<kv::Entry>& parts);
 
 }  // namespace dunebridge::api
--- a/src/api/job_cache.cpp
+++ b/src/api/job_cache.cpp
@@ -15,7 +15,7 @@
     return it == entries_.end() ? nullptr : &it->second;
 }
 
-bool JobCache::known_done(const JobId& job) const {
+bool JobCache::is_known_done(const JobId& job) const {
     const auto* entry = find(job);
     return entry && entry->terminal && entry->terminal->phase == wire::JobPhase::done;
 }
@@ -29,17 +29,17 @@
 JobCache::Entry& JobCache::entry(const JobId& job) {
     const auto [it, added] = entries_.try_emplace(job);
     if (added) {
-        oldest_first_.push_back(job);
+        insertion_order_.push_back(job);
         if (entries_.size() > kMaxJobs) evict_oldest();
     }
     return it->second;
 }
 
 void JobCache::evict_oldest() {
-    const auto oldest = entries_.find(oldest_first_.front());
+    const auto oldest = entries_.find(insertion_order_.front());
     ancestor_count_ -= oldest->second.ancestors.size();
     entries_.erase(oldest);
-    oldest_first_.pop_front();
+    insertion_order_.pop_front();
 }
 
 void JobCache::set_record(const JobId& job, KeyRevision record) { entry(job).record = record; }
@@ -50,12 +50,12 @@
 }
 
 void JobCache::set_ancestors(const JobId& job, std::vector<JobId> ancestors) {
-    std::erase_if(ancestors, [this](const JobId& id) { return known_done(id); });
+    std::erase_if(ancestors, [this](const JobId& id) { return is_known_done(id); });
     auto& kept = entry(job).ancestors;
     ancestor_count_ += ancestors.size();
     ancestor_count_ -= kept.size();
     kept = std::move(ancestors);
-    while (ancestor_count_ > kMaxAncestors && oldest_first_.front() != job) evict_oldest();
+    while (ancestor_count_ > kMaxAncestors && insertion_order_.front() != job) evict_oldest();
 }
 
 void JobCache::remove_ancestor(const JobId& job, const JobId& ancestor) {
--- a/src/api/job_cache.hpp
+++ b/src/api/job_cache.hpp
@@ -31,7 +31,7 @@
 
     /// Null if nothing is known of the job. Valid until the cache is next changed.
     const Entry* find(const JobId& job) const;
-    bool known_done(const JobId& job) const;
+    bool is_known_done(const JobId& job) const;
     /// Empty if nothing is known of the job. Valid until the cache is next changed.
     const std::vector<JobId>& ancestors(const JobId& job) const;
 
@@ -50,8 +50,8 @@
     void evict_oldest();
 
     std::unordered_map<JobId, Entry> entries_;
-    std::deque<JobId> oldest_first_;  ///< Each job of entries_, by when it was added.
-    std::size_t ancestor_count_ = 0;  ///< Of all entries together.
+    std::deque<JobId> insertion_order_;  ///< Each job of entries_, by when it was added.
+    std::size_t ancestor_count_ = 0;     ///< Of all entries together.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -13,41 +13,41 @@
 using sansio::LogLevel;
 using Outcome = JobLookupResult::Outcome;
 
-void JobLookup::start(JobRequest request, FirstRead first_read) {
+void JobLookup::start(JobRequest request, RecordKind first_record) {
     const auto job = request.job;
     const bool cancels = request.kind == RequestKind::cancellation;
     const auto [it, added] = lookups_.try_emplace(job);
     it->second.waiting.push_back(std::move(request));
     if (!added) return;
-    it->second.next_read = first_read;
+    it->second.next_record = first_record;
     // Cancellations go before what is only asked.
     if (cancels) {
-        unsent_.push_front(job);
+        unsent_reads_.push_front(job);
     } else {
-        unsent_.push_back(job);
+        unsent_reads_.push_back(job);
     }
 }
 
-bool JobLookup::has_unsent() {
-    while (!unsent_.empty() && lookups_.at(unsent_.front()).waiting.empty()) {
-        lookups_.erase(unsent_.front());
-        unsent_.pop_front();
+bool JobLookup::has_unsent_read() {
+    while (!unsent_reads_.empty() && lookups_.at(unsent_reads_.front()).waiting.empty()) {
+        lookups_.erase(unsent_reads_.front());
+        unsent_reads_.pop_front();
     }
-    return !unsent_.empty();
+    return !unsent_reads_.empty();
 }
 
 void JobLookup::send_next() {
-    const auto job = unsent_.front();
-    unsent_.pop_front();
+    const auto job = unsent_reads_.front();
+    unsent_reads_.pop_front();
     send(job);
 }
 
-void JobLookup::drop_if(const DropRequest& drop) {
+void JobLookup::drop_if(const DropPredicate& drop) {
     for (auto& [job, lookup] : lookups_) std::erase_if(lookup.waiting, drop);
 }
 
 void JobLookup::send(const JobId& job) {
-    const bool terminal = lookups_.at(job).next_read == FirstRead::terminal_record;
+    const bool terminal = lookups_.at(job).next_record == RecordKind::terminal_record;
     const auto key = terminal ? kv::terminal_key(job) : kv::job_key(job);
     kv_client_.get(key, kReadTimeout, [this, job, terminal](const kv::GetResult& result) {
         if (!result.available) {
@@ -62,8 +62,8 @@
 
 void JobLookup::handle_terminal_record(const JobId& job, const kv::GetResult& result) {
     if (!result.entry) {
-        lookups_.at(job).next_read = FirstRead::job_record;
-        unsent_.push_front(job);
+        lookups_.at(job).next_record = RecordKind::job_record;
+        unsent_reads_.push_front(job);
         return;
     }
     const auto record = kv::decode_terminal_record(result.entry->value);
@@ -109,7 +109,7 @@
         return;
     }
     try {
-        cache_.set_ancestors(job, jobs_in_parts(parts.entries));
+        cache_.set_ancestors(job, jobs_in_dependency_parts(parts.entries));
     } catch (const wire::DecodeError& e) {
         cache_.set_record(job, KeyRevision());
         fail_on_invalid_record(job, parts.entries.front().key, e);
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -38,7 +38,7 @@
   public:
     /// The record to be read first: a job that is known not to be terminal needs only its job
     /// record.
-    enum class FirstRead : std::uint8_t { terminal_record, job_record };
+    enum class RecordKind : std::uint8_t { terminal_record, job_record };
     /// Called once at the end of each lookup with all requests that waited for it.
     using OnFinished = std::function<void(std::vector<JobRequest>, const JobLookupResult&)>;
 
@@ -50,17 +50,17 @@
           on_finished_(std::move(on_finished)) {}
 
     /// Queues a lookup of the request's job, or joins the one that there is.
-    void start(JobRequest request, FirstRead first_read);
+    void start(JobRequest request, RecordKind first_record);
     /// Whether there is a read to be sent. Forgets queued lookups for which no request waits any
     /// more.
-    bool has_unsent();
-    /// Sends the next read; has_unsent() must be true. The caller keeps to the read budget.
+    bool has_unsent_read();
+    /// Sends the next read; has_unsent_read() must be true. The caller keeps to the read budget.
     void send_next();
-    void drop_if(const DropRequest& drop);
+    void drop_if(const DropPredicate& drop);
 
   private:
     struct Lookup {
-        FirstRead next_read = FirstRead::terminal_record;
+        RecordKind next_record = RecordKind::terminal_record;
         std::vector<JobRequest> waiting;
     };
 
@@ -78,7 +78,7 @@
     JobCache& cache_;
     OnFinished on_finished_;
     std::map<JobId, Lookup> lookups_;
-    std::deque<JobId> unsent_;  ///< Jobs whose next read has not been sent.
+    std::deque<JobId> unsent_reads_;  ///< Jobs whose next read has not been sent.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/job_request.hpp
+++ b/src/api/job_request.hpp
@@ -51,6 +51,6 @@
 
 /// Called once for each waiting request. True: the request has been responded to and is to be
 /// dropped.
-using DropRequest = std::function<bool(const JobRequest&)>;
+using DropPredicate = std::function<bool(const JobRequest&)>;
 
 }  // namespace dunebridge::api
--- a/src/api/job_responder.cpp
+++ b/src/api/job_responder.cpp
@@ -64,8 +64,8 @@
 }
 
 void JobResponder::respond_unavailable(const JobRequest& request) {
-    const std::chrono::seconds spread(context_.random() % kRetrySpread_s);
-    context_.refuse(request.id, RefusalReason::try_again, spread);
+    const std::chrono::seconds jitter(context_.random() % kRetryJitter_s);
+    context_.refuse(request.id, RefusalReason::try_again, jitter);
 }
 
 }  // namespace dunebridge::api
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -26,7 +26,7 @@
       submission_queue_(context, kv_client, config, cache_, responder_, *this),
       lookup_(context, kv_client, cache_,
               [this](std::vector<JobRequest> requests, const JobLookupResult& result) {
-                  handle_looked_up(std::move(requests), result);
+                  handle_lookup_finished(std::move(requests), result);
               }),
       read_queue_(kv_client, cache_, responder_, *this),
       ancestor_checks_(context, kv_client, config, read_budget_, cache_, responder_, *this),
@@ -65,7 +65,7 @@
     } else if (creates) {
         submission_queue_.push(std::move(request));
     } else if (ancestor_checks_.needs_check(request)) {
-        ancestor_checks_.hold(std::move(request));
+        ancestor_checks_.push(std::move(request));
     } else {
         read_queue_.push(std::move(request));
     }
@@ -74,8 +74,8 @@
 // Nobody is kept waiting for a key-value store that does not answer, nor in a queue that only
 // grows.
 bool JobService::may_enqueue(const JobRequest& request, std::size_t queued) const {
-    return request.attempts <= kMaxAttempts && queued < kMaxQueued &&
-           kv_client_.time_since_response() <= kStoreSilentAfter && !is_overdue(request);
+    return request.attempts <= kMaxAttempts && queued < kMaxQueuedRequests &&
+           kv_client_.time_since_response() <= kStoreUnresponsiveAfter && !is_overdue(request);
 }
 
 bool JobService::is_overdue(const JobRequest& request) const {
@@ -84,8 +84,8 @@
 
 void JobService::enqueue_checked_read(JobRequest request) { read_queue_.push(std::move(request)); }
 
-void JobService::look_up(JobRequest request, JobLookup::FirstRead first_read) {
-    lookup_.start(std::move(request), first_read);
+void JobService::look_up(JobRequest request, JobLookup::RecordKind first_record) {
+    lookup_.start(std::move(request), first_record);
 }
 
 void JobService::resolve_ancestors(JobRequest request, std::vector<JobId> terminal) {
@@ -100,7 +100,8 @@
     cancellations_.commit(std::move(request));
 }
 
-void JobService::handle_looked_up(std::vector<JobRequest> requests, const JobLookupResult& result) {
+void JobService::handle_lookup_finished(std::vector<JobRequest> requests,
+                                        const JobLookupResult& result) {
     for (auto& request : requests) {
         switch (result.outcome) {
             case JobLookupResult::Outcome::unavailable:
@@ -130,7 +131,7 @@
 void JobService::send_reads() {
     for (;;) {
         const bool may_confirm = read_queue_.may_send();
-        const bool may_look_up = lookup_.has_unsent();
+        const bool may_look_up = lookup_.has_unsent_read();
         if (!may_confirm && !may_look_up) return;
         if (!read_budget_.take(1, context_.now())) {
             context_.request_wake(read_budget_.ready_at(1, context_.now()));
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -56,7 +56,7 @@
   private:
     void enqueue(JobRequest request) override;
     void enqueue_checked_read(JobRequest request) override;
-    void look_up(JobRequest request, JobLookup::FirstRead first_read) override;
+    void look_up(JobRequest request, JobLookup::RecordKind first_record) override;
     void resolve_ancestors(JobRequest request, std::vector<JobId> terminal) override;
     void prepare_submission(JobRequest request) override;
     void commit_cancellation(JobRequest request) override;
@@ -65,7 +65,7 @@
     bool is_overdue(const JobRequest& request) const;
     void send_reads();
     void refuse_overdue();
-    void handle_looked_up(std::vector<JobRequest> requests, const JobLookupResult& result);
+    void handle_lookup_finished(std::vector<JobRequest> requests, const JobLookupResult& result);
 
     sansio::Context& context_;
     kv::KvClient& kv_client_;
--- a/src/api/linearizable_read_queue.cpp
+++ b/src/api/linearizable_read_queue.cpp
@@ -13,7 +13,7 @@
     return !queue_.empty() && in_flight_ < kMaxReadTransactions;
 }
 
-void LinearizableReadQueue::drop_front_while(const DropRequest& drop) {
+void LinearizableReadQueue::drop_front_while(const DropPredicate& drop) {
     while (!queue_.empty() && drop(queue_.front())) queue_.pop_front();
 }
 
@@ -21,7 +21,7 @@
     BatchPreconditions preconditions(cache_);
     std::vector<JobRequest> requests;
     while (!queue_.empty() &&
-           preconditions.size_with(queue_.front()) <= kv_client_.max_preconditions()) {
+           preconditions.max_size_with(queue_.front()) <= kv_client_.max_preconditions()) {
         auto request = std::move(queue_.front());
         queue_.pop_front();
         const auto* known = cache_.find(request.job);
@@ -54,9 +54,9 @@
 // Only the keys named as failed are known to differ; the rest is asked again.
 void LinearizableReadQueue::handle_conflict(JobRequest request, const FailedKeys& failed) {
     if (failed.contains(kv::terminal_key(request.job))) {
-        pipeline_.look_up(std::move(request), JobLookup::FirstRead::terminal_record);
+        pipeline_.look_up(std::move(request), JobLookup::RecordKind::terminal_record);
     } else if (failed.contains(kv::job_key(request.job))) {
-        pipeline_.look_up(std::move(request), JobLookup::FirstRead::job_record);
+        pipeline_.look_up(std::move(request), JobLookup::RecordKind::job_record);
     } else {
         auto terminal = terminal_ancestors(request, cache_, failed);
         pipeline_.resolve_ancestors(std::move(request), std::move(terminal));
--- a/src/api/linearizable_read_queue.hpp
+++ b/src/api/linearizable_read_queue.hpp
@@ -34,7 +34,7 @@
     /// budget.
     void send();
     /// Drops requests from the front for as long as the condition holds.
-    void drop_front_while(const DropRequest& drop);
+    void drop_front_while(const DropPredicate& drop);
 
   private:
     void handle_result(std::vector<JobRequest> requests, const kv::TransactionResult& result);
--- a/src/api/request_pipeline.hpp
+++ b/src/api/request_pipeline.hpp
@@ -26,7 +26,7 @@
     /// checked.
     virtual void enqueue_checked_read(JobRequest request) = 0;
     /// Reads the records of the request's job.
-    virtual void look_up(JobRequest request, JobLookup::FirstRead first_read) = 0;
+    virtual void look_up(JobRequest request, JobLookup::RecordKind first_record) = 0;
     /// Finds out how these ancestors of the request's job have ended, and what that makes of it.
     virtual void resolve_ancestors(JobRequest request, std::vector<JobId> terminal) = 0;
     /// Makes the records of a submission whose dependencies are known, and queues it.
--- a/src/api/submission_queue.cpp
+++ b/src/api/submission_queue.cpp
@@ -19,9 +19,9 @@
       cache_(cache),
       responder_(responder),
       pipeline_(pipeline),
-      write_budget_(kWriteShare * config.kv_limits.write_rps()) {}
+      write_budget_(kWriteSharePerNode * config.kv_limits.write_rps()) {}
 
-void SubmissionQueue::drop_front_while(const DropRequest& drop) {
+void SubmissionQueue::drop_front_while(const DropPredicate& drop) {
     while (!queue_.empty() && drop(queue_.front())) queue_.pop_front();
 }
 
@@ -62,9 +62,9 @@
     // Whatever it takes, each submission is prepared so that it fits one transaction alone.
     if (batch.writes.empty()) return true;
     const auto& submission = request.submission;
-    return batch.preconditions.size_with(request) <= kv_client_.max_preconditions() &&
+    return batch.preconditions.max_size_with(request) <= kv_client_.max_preconditions() &&
            batch.writes.size() + submission.writes.size() <= config_.kv_limits.txn_ops() &&
-           batch.bytes + submission.bytes <= kMaxTransactionBytes;
+           batch.bytes + submission.bytes <= kMaxBatchBytes;
 }
 
 void SubmissionQueue::send(Batch batch) {
@@ -116,7 +116,7 @@
     if (known) {
         // A repeated submission is answered with the state of the job that has its id.
         request.kind = RequestKind::poll;
-        pipeline_.look_up(std::move(request), JobLookup::FirstRead::terminal_record);
+        pipeline_.look_up(std::move(request), JobLookup::RecordKind::terminal_record);
         return;
     }
     auto terminal = terminal_ancestors(request, cache_, failed);
--- a/src/api/submission_queue.hpp
+++ b/src/api/submission_queue.hpp
@@ -33,7 +33,7 @@
     /// Sends transactions as far as the write budget allows.
     void send();
     /// Drops requests from the front for as long as the condition holds.
-    void drop_front_while(const DropRequest& drop);
+    void drop_front_while(const DropPredicate& drop);
 
   private:
     struct Batch {
--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -29,9 +29,8 @@
 
 }  // namespace
 
-std::optional<Refusal> refuse_never_runnable(const wire::JobSpec& spec,
-                                             const config::Config& config,
-                                             const std::vector<wire::MachineType>& types) {
+std::optional<Refusal> check_runnable(const wire::JobSpec& spec, const config::Config& config,
+                                      const std::vector<wire::MachineType>& types) {
     const auto* team = config.find_team(spec.team);
     if (!team) return Refusal(RefusalReason::never_runnable, "unknown team");
     if (is_over_team_limit(spec, *team)) {
@@ -47,8 +46,8 @@
     return encode(kv::TerminalRecord{wire::JobPhase::cancelled, std::nullopt, now_ms}).packed;
 }
 
-Preparation SubmissionRecords::prepare(Submission& submission, std::uint64_t format,
-                                       std::int64_t now_ms) const {
+PrepareResult SubmissionRecordBuilder::prepare(Submission& submission, std::uint64_t format,
+                                               std::int64_t now_ms) const {
     submission.record.submitted_ms = now_ms;
     submission.writes.clear();
     submission.bytes = 0;
@@ -56,31 +55,31 @@
     if (submission.cancelled) {
         submission.writes.push_back(
             {kv::terminal_key(spec.id), cancellation_record(now_ms), std::nullopt});
-    } else if (!prepare_one_record(submission)) {
-        if (spec.waits_on.empty()) return Preparation::too_large;
+    } else if (!prepare_single_record(submission)) {
+        if (spec.waits_on.empty()) return PrepareResult::too_large;
         // An older leader would not find the parts, and start the tasks early.
-        if (format < config::kSplitDependencyFormat) return Preparation::format_not_in_force;
-        if (!prepare_parts(submission)) return Preparation::too_many_ancestors;
+        if (format < config::kSplitDependencyFormat) return PrepareResult::format_not_adopted;
+        if (!prepare_parts(submission)) return PrepareResult::too_many_dependencies;
     }
     for (const auto& write : submission.writes) {
         submission.bytes += write.value.value_or("").size() + kWriteOverheadBytes;
     }
-    return Preparation::ready;
+    return PrepareResult::ready;
 }
 
 // All in the job record, if it fits and one transaction can guard all ancestors.
-bool SubmissionRecords::prepare_one_record(Submission& submission) const {
+bool SubmissionRecordBuilder::prepare_single_record(Submission& submission) const {
     const auto& record = submission.record;
     auto packed = encode(record);
     if (packed.json_size > config_.kv_limits.value_bytes()) return false;
-    const auto preconditions = kOwnPreconditions + record.ancestors.size();
+    const auto preconditions = kOwnJobPreconditions + record.ancestors.size();
     if (preconditions > config_.kv_limits.max_preconditions()) return false;
     submission.writes.push_back(
         {kv::job_key(record.spec.id), std::move(packed.packed), std::nullopt});
     return true;
 }
 
-bool SubmissionRecords::prepare_parts(Submission& submission) const {
+bool SubmissionRecordBuilder::prepare_parts(Submission& submission) const {
     auto parts = encode_parts(submission.record);
     if (!parts) return false;
     auto record = submission.record;
@@ -101,7 +100,7 @@
 // The direct dependencies, and as many of the further ancestors as one transaction can write; a
 // cancellation of one that is left out reaches the job through the leader alone. None if not even
 // the direct dependencies fit.
-std::optional<std::vector<kv::PackedRecord>> SubmissionRecords::encode_parts(
+std::optional<std::vector<kv::PackedRecord>> SubmissionRecordBuilder::encode_parts(
     const kv::JobRecord& record) const {
     const auto& named = record.spec.waits_on;
     std::vector<JobId> direct;
--- a/src/api/submission_records.hpp
+++ b/src/api/submission_records.hpp
@@ -17,29 +17,29 @@
 
 /// The refusal of a job that can never run: its team is unknown, or its tasks are larger than the
 /// team's limit or than every machine type that it allows. None if it can run.
-std::optional<sansio::Refusal> refuse_never_runnable(const wire::JobSpec& spec,
-                                                     const config::Config& config,
-                                                     const std::vector<wire::MachineType>& types);
+std::optional<sansio::Refusal> check_runnable(const wire::JobSpec& spec,
+                                              const config::Config& config,
+                                              const std::vector<wire::MachineType>& types);
 
 /// Whether a submission can be written, and if not, why.
-enum class Preparation : std::uint8_t {
+enum class PrepareResult : std::uint8_t {
     ready,
-    too_large,           ///< The job's description is larger than a record may be.
-    too_many_ancestors,  ///< It directly depends on more jobs than one transaction can write.
-    format_not_in_force  ///< It needs a record format that is not in force yet.
+    too_large,              ///< The job's description is larger than a record may be.
+    too_many_dependencies,  ///< It directly depends on more jobs than one transaction can write.
+    format_not_adopted      ///< It needs a record format that is not in force yet.
 };
 
 /// Builds the records that a submission writes. Pure: reads the configuration only.
-class SubmissionRecords {
+class SubmissionRecordBuilder {
   public:
-    explicit SubmissionRecords(const config::Config& config) : config_(config) {}
+    explicit SubmissionRecordBuilder(const config::Config& config) : config_(config) {}
 
     /// Fills in the submission's writes, for a store in that record format. `now_ms` is the time of
     /// day, in milliseconds since the epoch. May be repeated when the ancestors have changed.
-    Preparation prepare(Submission& submission, std::uint64_t format, std::int64_t now_ms) const;
+    PrepareResult prepare(Submission& submission, std::uint64_t format, std::int64_t now_ms) const;
 
   private:
-    bool prepare_one_record(Submission& submission) const;
+    bool prepare_single_record(Submission& submission) const;
     bool prepare_parts(Submission& submission) const;
     std::optional<std::vector<kv::PackedRecord>> encode_parts(const kv::JobRecord& record) const;
 
--- a/src/api/submission_service.cpp
+++ b/src/api/submission_service.cpp
@@ -22,7 +22,7 @@
       responder_(responder),
       pipeline_(pipeline),
       dependency_lookup_(context, kv_client, cache),
-      records_(config) {}
+      record_builder_(config) {}
 
 void SubmissionService::submit(RequestId id, const std::string& body) {
     const auto document = wire::Document::parse(body);
@@ -50,7 +50,7 @@
         return;
     }
     const auto& spec = request.submission.record.spec;
-    if (auto refusal = refuse_never_runnable(spec, config_, types_)) {
+    if (auto refusal = check_runnable(spec, config_, types_)) {
         reject(std::move(request), *std::move(refusal));
     } else if (spec.waits_on.empty()) {
         prepare(std::move(request));
@@ -126,19 +126,19 @@
 // ---- records ----
 
 void SubmissionService::prepare(JobRequest request) {
-    switch (records_.prepare(request.submission, record_format_, context_.wall_ms())) {
-        case Preparation::ready:
+    switch (record_builder_.prepare(request.submission, record_format_, context_.wall_ms())) {
+        case PrepareResult::ready:
             pipeline_.enqueue(std::move(request));
             break;
-        case Preparation::too_large:
+        case PrepareResult::too_large:
             reject(std::move(request),
                    {RefusalReason::never_runnable, "its description is larger than can be kept"});
             break;
-        case Preparation::too_many_ancestors:
+        case PrepareResult::too_many_dependencies:
             reject(std::move(request),
                    {RefusalReason::never_runnable, "it waits on more jobs than can be kept"});
             break;
-        case Preparation::format_not_in_force:
+        case PrepareResult::format_not_adopted:
             responder_.respond_unavailable(request);
             break;
     }
--- a/src/api/submission_service.hpp
+++ b/src/api/submission_service.hpp
@@ -52,7 +52,7 @@
     JobResponder& responder_;
     RequestPipeline& pipeline_;
     DependencyLookup dependency_lookup_;
-    SubmissionRecords records_;
+    SubmissionRecordBuilder record_builder_;
     /// The record format in force, as far as this node has read; 0: the oldest.
     std::uint64_t record_format_ = 0;
 };
