--- a/src/api/ancestor_check.hpp
+++ b/src/api/ancestor_check.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Finds out whether any ancestor of a job is terminal, for a job with more ancestors than one
-/// transaction can guard.
+/// Checks whether any ancestor of a job is terminal, for jobs with more ancestors than one
+/// transaction may have preconditions.
 #pragma once
 
 #include <functional>
@@ -14,44 +14,52 @@
 
 namespace dunebridge::api {
 
-/// Checks the ancestors of jobs in several transactions that only compare, each of as many
-/// ancestors as a transaction may have preconditions.
+/// Runs ancestor checks, at most one per job at a time. A check sends a series of transactions
+/// without writes; each requires that a batch of ancestors, as large as the limit on preconditions
+/// allows, has no terminal records.
 ///
-/// A check that found none terminal stays valid for a part of the cancellation deadline, because a
-/// cancellation must have reached the jobs that depend on it within that deadline. Whether the job
-/// itself is terminal is not checked here: the transaction that confirms the response does that, so
-/// that no response is older than one given before.
+/// A check that found no terminal ancestor stays valid for a fraction of the cancellation deadline,
+/// the time within which a cancellation must reach all dependent jobs. The check does not cover the
+/// job's own terminal record: the transaction that confirms the response does, so that a response
+/// is never staler than an earlier one.
 class AncestorCheck {
   public:
+    /// Result of a check.
     enum class Outcome : std::uint8_t {
         none_terminal,
         some_terminal,
-        unavailable  ///< The key-value store did not answer, or too many checks are under way.
+        unavailable  ///< The key-value store did not respond, or too many checks are running.
     };
-    /// Called once at the end of each check, possibly from within start(). `terminal` holds
-    /// ancestors that are terminal if the outcome says that there are some; not always all of them.
+    /// Called once at the end of each check, possibly from within start(). For some_terminal,
+    /// `terminal` lists terminal ancestors, though not necessarily all of them; otherwise it is
+    /// empty.
     using OnFinished =
         std::function<void(const JobId& job, Outcome, const std::vector<JobId>& terminal)>;
 
-    /// `read_budget` is shared with the caller, which owns it; each transaction takes one token.
+    /// `read_budget` is owned by the caller and must outlive this object; each transaction takes
+    /// one token from it.
     AncestorCheck(sansio::Context& context, kv::KvClient& kv_client, const config::Config& config,
                   TokenBucket& read_budget, OnFinished on_finished);
 
-    /// Whether a check of the job that found no terminal ancestor is recent enough.
+    /// Returns whether a recent check of the job found no terminal ancestor and is still valid.
     bool has_valid_check(const JobId& job) const;
-    /// Begins a check of the job; does nothing if one is under way.
+    /// Starts a check of the job; does nothing if one is already running.
     void start(const JobId& job, const std::vector<JobId>& ancestors);
 
   private:
+    /// A running check.
     struct Check {
-        std::vector<JobId> unchecked;
+        std::vector<JobId> unchecked;  ///< Checked from the back.
         Instant started_at{};
     };
 
+    /// Checks the next batch of ancestors, as soon as the read budget allows.
     void check_next(const JobId& job);
     void handle_result(const JobId& job, std::size_t checked, const kv::TransactionResult& result);
     void finish(const JobId& job, Outcome outcome, const std::vector<JobId>& terminal);
+    /// Removes results of checks that are no longer valid.
     void remove_expired();
+    /// For how long a check that found no terminal ancestor is valid, counted from its start.
     Millis validity() const;
 
     sansio::Context& context_;
@@ -60,7 +68,7 @@
     TokenBucket& read_budget_;
     OnFinished on_finished_;
     std::map<JobId, Check> checks_;
-    /// When the last check began that found no terminal ancestor of the job.
+    /// Start time of the last check of each job that found no terminal ancestor.
     std::map<JobId, Instant> last_passed_at_;
 };
 
--- a/src/api/ancestor_check_queue.hpp
+++ b/src/api/ancestor_check_queue.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Holds reads of jobs with very many ancestors until these have been checked.
+/// Queue of read requests for jobs whose ancestors must be checked first.
 #pragma once
 
 #include <map>
@@ -17,20 +17,23 @@
 
 namespace dunebridge::api {
 
-/// Where a job has more ancestors than one transaction can guard, whether one is terminal is found
-/// out before its response is confirmed. Requests about the same job share one check.
+/// Queues requests for jobs that have more ancestors than one transaction may have preconditions.
+/// Their ancestors are checked before the transaction that confirms the response. Requests for the
+/// same job share one check.
 class AncestorCheckQueue {
   public:
-    /// `read_budget` is shared with the caller, which owns it.
+    /// `read_budget` is owned by the caller and must outlive the queue.
     AncestorCheckQueue(sansio::Context& context, kv::KvClient& kv_client,
                        const config::Config& config, TokenBucket& read_budget, JobCache& cache,
                        JobResponder& responder, RequestPipeline& pipeline);
 
-    /// Whether the ancestors of the request's job must be checked first. If a recent check is still
-    /// valid, notes so in the request and returns false.
+    /// Returns whether the ancestors of the request's job must be checked first. If an earlier
+    /// check is still valid, sets `request.ancestors_checked` and returns false.
     bool needs_check(JobRequest& request) const;
-    /// Holds the request until its job's ancestors have been checked.
+    /// Queues the request until its job's ancestors have been checked; starts a check if none is
+    /// running.
     void push(JobRequest request);
+    /// Removes the requests for which the predicate returns true.
     void drop_if(const DropPredicate& drop);
 
   private:
--- a/src/api/batch_preconditions.cpp
+++ b/src/api/batch_preconditions.cpp
@@ -9,7 +9,8 @@
     if (request.ancestors_checked) return {};
     if (request.kind != RequestKind::submission) return cache.ancestors(request.job);
     const auto& submission = request.submission;
-    // The ancestors of a job with dependency parts are seen to by polls and by the leader.
+    // A job with dependency parts has too many ancestors for its submission to check. Polls and the
+    // leader check them.
     const bool has_parts = submission.writes.size() > 1;
     if (submission.cancelled || has_parts) return {};
     return submission.record.ancestors;
--- a/src/api/batch_preconditions.hpp
+++ b/src/api/batch_preconditions.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The preconditions under which one transaction decides several requests.
+/// Preconditions of a transaction that serves a batch of requests.
 #pragma once
 
 #include <cstddef>
@@ -17,26 +17,26 @@
 /// Keys of a transaction whose preconditions failed.
 using FailedKeys = std::set<std::string>;
 
-/// The ancestors whose terminal records the request's transaction must rule out: none if they have
-/// been checked before, or if the leader and polls see to them. Valid as long as the request and
-/// the job's entry in the cache are unchanged.
+/// Returns the guarded ancestors: those that the request's transaction requires to have no terminal
+/// record. Empty if they have already been checked, or if checking them is left to polls and to the
+/// leader. The span is valid as long as the request and the job's cache entry are unchanged.
 std::span<const JobId> guarded_ancestors(const JobRequest& request, const JobCache& cache);
 
-/// The guarded ancestors that have turned out to be terminal.
+/// Returns the guarded ancestors whose precondition failed because they are terminal.
 std::vector<JobId> terminal_ancestors(const JobRequest& request, const JobCache& cache,
                                       const FailedKeys& failed);
 
-/// Collects preconditions for a batch of requests, each key once.
+/// Collects the preconditions of a batch of requests. Each key occurs only once.
 class BatchPreconditions {
   public:
     explicit BatchPreconditions(const JobCache& cache) : cache_(cache) {}
 
-    /// Requires that the job's record has that revision (0: does not exist) and that neither the
-    /// job nor a guarded ancestor has a terminal record. Returns false, and adds nothing, if
-    /// another request about the same job has been added.
+    /// Requires that the job record has the revision `job_record` (0: does not exist) and that
+    /// neither the job nor a guarded ancestor has a terminal record. Returns false and adds nothing
+    /// if a request for the same job has already been added.
     bool add(const JobRequest& request, KeyRevision job_record);
 
-    /// How many there would be, at most, with this request.
+    /// Returns an upper bound on the number of preconditions after add(request).
     std::size_t max_size_with(const JobRequest& request) const;
     const std::vector<wire::Precondition>& all() const { return preconditions_; }
 
@@ -45,8 +45,8 @@
 
     const JobCache& cache_;
     std::vector<wire::Precondition> preconditions_;
-    std::set<JobId> jobs_;          ///< Jobs of requests.
-    std::set<JobId> not_terminal_;  ///< Jobs whose terminal records are ruled out.
+    std::set<JobId> jobs_;          ///< Jobs of the added requests.
+    std::set<JobId> not_terminal_;  ///< Jobs required to have no terminal record.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/cancellation_service.hpp
+++ b/src/api/cancellation_service.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Cancels jobs: by a user's request, or because an ancestor is cancelled.
+/// Cancels jobs at a user's request, or because an ancestor is cancelled.
 #pragma once
 
 #include "api/job_cache.hpp"
@@ -11,18 +11,19 @@
 
 namespace dunebridge::api {
 
-/// A job ends by the creation of its terminal record, once. Any node may create that of a
-/// cancellation; the job's tasks are stopped by the leader.
+/// Cancels a job by creating its terminal record. The record is created only if there is none, so a
+/// job ends only once. Any node may cancel a job; the leader stops its tasks.
 class CancellationService {
   public:
     CancellationService(sansio::Context& context, kv::KvClient& kv_client, const JobCache& cache,
                         JobResponder& responder, RequestPipeline& pipeline);
 
-    /// Takes a user's request to cancel a job: it is looked up first, as it may be terminal or
-    /// unknown.
+    /// Handles a user's request to cancel a job. Unless the cache says that the job is terminal,
+    /// the job is looked up first, because it may be terminal or unknown.
     void cancel(JobRequest request);
-    /// Creates the terminal record, provided that the job record is still the one in the cache and
-    /// that there is no terminal record. If there is, the job is looked up again.
+    /// Creates the terminal record on condition that the job record still has the revision in the
+    /// cache and that no terminal record exists. If the condition fails, the job is looked up
+    /// again.
     void commit(JobRequest request);
 
   private:
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -69,8 +69,8 @@
     read_terminal_records(lookup);
 }
 
-// A job record is removed only after the terminal record exists: a job that has neither was never
-// accepted.
+// A job record is removed only after the terminal record has been created, so a job that has
+// neither was never accepted.
 void DependencyLookup::read_terminal_records(const SharedLookup& lookup) {
     kv_client_.get_each(kv::kTerminalPrefix, lookup->ids_without_record, kReadTimeout,
                         [this, lookup](const kv::MultiGetResult& rows) {
--- a/src/api/job_cache.cpp
+++ b/src/api/job_cache.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr std::size_t kMaxJobs = 8000;
-constexpr std::size_t kMaxAncestors = 100000;  // some six megabytes
+constexpr std::size_t kMaxAncestors = 100000;  // about 6 MB of memory
 }  // namespace
 
 const JobCache::Entry* JobCache::find(const JobId& job) const {
--- a/src/api/job_cache.hpp
+++ b/src/api/job_cache.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What this node has read of jobs from the key-value store.
+/// Cache of the job states that this node has read from the key-value store.
 #pragma once
 
 #include <deque>
@@ -12,37 +12,39 @@
 
 namespace dunebridge::api {
 
-/// A bounded cache of jobs' states; the jobs that were first asked about longest ago are evicted
-/// first.
+/// A bounded cache of job states with first-in, first-out eviction.
 ///
-/// A terminal state never changes, so a response may give it from here. That a job is open may have
-/// changed since: it must be confirmed before each response that says so.
+/// A terminal state never changes, so a response may use the cached one. An open job may have ended
+/// since it was read: each response that calls a job open must be confirmed first.
 class JobCache {
   public:
+    /// What is known of one job.
     struct Entry {
-        /// Revision of the job record; 0 if it has none.
+        /// Revision of the job record; 0 if the job has none.
         KeyRevision record;
-        /// Jobs that must be done before this one, also through others, and were not when last
-        /// read.
+        /// Direct and transitive dependencies that were not done when last read.
         std::vector<JobId> ancestors;
-        /// The terminal state, if responses may show it.
+        /// The terminal state, if it is known and responses may show it.
         std::optional<wire::JobStatus> terminal;
     };
 
-    /// Null if nothing is known of the job. Valid until the cache is next changed.
+    /// Returns the job's entry, or null if there is none. Valid until the cache is next changed.
     const Entry* find(const JobId& job) const;
+    /// Returns whether the job is known to be done; false if there is no entry.
     bool is_known_done(const JobId& job) const;
-    /// Empty if nothing is known of the job. Valid until the cache is next changed.
+    /// Returns the job's ancestors; empty if there is no entry. Valid until the cache is next
+    /// changed.
     const std::vector<JobId>& ancestors(const JobId& job) const;
 
-    // Each of these creates the entry if there is none.
+    // The setters create the entry if there is none.
 
     void set_record(const JobId& job, KeyRevision record);
+    /// Also removes the job's ancestors, which are no longer needed.
     void set_terminal(const JobId& job, const wire::JobStatus& terminal);
-    /// Leaves out ancestors that are known to be done.
+    /// Replaces the job's ancestors, omitting those that are known to be done.
     void set_ancestors(const JobId& job, std::vector<JobId> ancestors);
 
-    /// Does nothing if the job or the ancestor is not there.
+    /// Does nothing if there is no entry for the job or it does not list the ancestor.
     void remove_ancestor(const JobId& job, const JobId& ancestor);
 
   private:
@@ -50,8 +52,8 @@
     void evict_oldest();
 
     std::unordered_map<JobId, Entry> entries_;
-    std::deque<JobId> insertion_order_;  ///< Each job of entries_, by when it was added.
-    std::size_t ancestor_count_ = 0;     ///< Of all entries together.
+    std::deque<JobId> insertion_order_;  ///< Jobs in entries_, oldest entry first.
+    std::size_t ancestor_count_ = 0;     ///< Sum over all entries.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -20,7 +20,7 @@
     it->second.waiting.push_back(std::move(request));
     if (!added) return;
     it->second.next_record = first_record;
-    // Cancellations go before what is only asked.
+    // Cancellations take precedence over requests that only read.
     if (cancels) {
         unsent_reads_.push_front(job);
     } else {
@@ -99,8 +99,9 @@
     });
 }
 
-// The parts were created together with the job record; some are missing only once the job is
-// terminal. Where they can't be had, the job record is forgotten, so that it is read again.
+// The parts are created together with the job record, so some are missing only if the job has
+// become terminal. If the parts cannot be read, the cached revision of the job record is reset so
+// that the record is read again.
 void JobLookup::handle_parts(const JobId& job, std::uint64_t expected,
                              const kv::ListResult& parts) {
     if (!parts.available || parts.entries.size() != expected) {
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Reads what the key-value store holds of a job: its terminal record, where it may have one, then
-/// its job record.
+/// Reads the records of a job from the key-value store: the terminal record, unless the job is
+/// known to have none, then the job record.
 #pragma once
 
 #include <cstdint>
@@ -17,29 +17,29 @@
 
 namespace dunebridge::api {
 
-/// What a lookup found.
+/// Result of a job lookup.
 struct JobLookupResult {
     enum class Outcome : std::uint8_t {
-        terminal,    ///< The job has ended, as `terminal` says.
-        has_record,  ///< It has a job record, whose content is in the cache now.
-        no_record,   ///< It has no job record. Whether it is terminal must be confirmed.
-        unavailable  ///< The key-value store did not answer, or a record cannot be decoded.
+        terminal,    ///< The job has ended; `terminal` holds its state.
+        has_record,  ///< The job has a job record, which is now in the cache.
+        no_record,   ///< The job has no job record. Whether it is terminal must be confirmed.
+        unavailable  ///< The key-value store did not respond, or a record cannot be decoded.
     };
     Outcome outcome = Outcome::unavailable;
-    wire::JobStatus terminal;  ///< Of Outcome::terminal only.
+    wire::JobStatus terminal;  ///< Set only for Outcome::terminal.
 };
 
-/// Queues lookups and runs them; requests about the same job share one lookup.
+/// Queues and runs lookups. Requests for the same job share one lookup.
 ///
-/// Except for a terminal state, what is found is no response by itself: the caller confirms it with
-/// a later transaction, so that a request which joins a lookup under way is told nothing older than
-/// its own arrival.
+/// Only a terminal state may be returned to the user directly. Any other result must be confirmed
+/// by a later transaction, because a request may join a lookup that is already running and must not
+/// get a state from before its own arrival.
 class JobLookup {
   public:
-    /// The record to be read first: a job that is known not to be terminal needs only its job
-    /// record.
+    /// The records that a lookup reads. If a terminal record is not found, the job record is read
+    /// next; a job that is known not to be terminal needs only its job record.
     enum class RecordKind : std::uint8_t { terminal_record, job_record };
-    /// Called once at the end of each lookup with all requests that waited for it.
+    /// Called once at the end of each lookup with all requests that waited for it; possibly none.
     using OnFinished = std::function<void(std::vector<JobRequest>, const JobLookupResult&)>;
 
     JobLookup(sansio::Context& context, kv::KvClient& kv_client, JobCache& cache,
@@ -49,16 +49,19 @@
           cache_(cache),
           on_finished_(std::move(on_finished)) {}
 
-    /// Queues a lookup of the request's job, or joins the one that there is.
+    /// Queues a lookup of the request's job, or joins one that is queued or running.
     void start(JobRequest request, RecordKind first_record);
-    /// Whether there is a read to be sent. Forgets queued lookups for which no request waits any
-    /// more.
+    /// Returns whether there is a read to send. First removes lookups at the front of the queue for
+    /// which no request waits any more.
     bool has_unsent_read();
-    /// Sends the next read; has_unsent_read() must be true. The caller keeps to the read budget.
+    /// Sends the next read. has_unsent_read() must have returned true. The caller is responsible
+    /// for the read budget.
     void send_next();
+    /// Removes the requests for which the predicate returns true. Their lookups may still run.
     void drop_if(const DropPredicate& drop);
 
   private:
+    /// A lookup that is queued or running.
     struct Lookup {
         RecordKind next_record = RecordKind::terminal_record;
         std::vector<JobRequest> waiting;
@@ -78,7 +81,7 @@
     JobCache& cache_;
     OnFinished on_finished_;
     std::map<JobId, Lookup> lookups_;
-    std::deque<JobId> unsent_reads_;  ///< Jobs whose next read has not been sent.
+    std::deque<JobId> unsent_reads_;  ///< Jobs whose next read has not yet been sent.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/job_request.hpp
+++ b/src/api/job_request.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A user's request about a job, while it waits for the key-value store.
+/// A user's request about a job, as it passes through the user API.
 #pragma once
 
 #include <cstddef>
@@ -15,42 +15,42 @@
 
 namespace dunebridge::api {
 
-/// What a user asks for.
+/// Kind of a user's request.
 enum class RequestKind : std::uint8_t {
     poll,
     submission,
     cancellation,
-    /// A submission that is refused unless its job is known already: a repeated submission is
-    /// answered with the state of the job that has its id, whatever else it carries.
+    /// An invalid submission. It is refused only if no job with its id exists; otherwise it counts
+    /// as a repeated submission, which gets the state of that job regardless of its other content.
     rejected_submission
 };
 
-/// What a submission is to write, complete once all that it needs to know has been read.
+/// The data of a submission. `record` is complete once the dependencies have been looked up.
 struct Submission {
     kv::JobRecord record;
-    /// It names a cancelled job: it is accepted and cancelled at once.
+    /// An ancestor is cancelled: the job is accepted and cancelled at once.
     bool cancelled = false;
     std::vector<wire::Write> writes;
-    std::size_t bytes = 0;  ///< Of the writes, with kWriteOverheadBytes for each.
+    std::size_t bytes = 0;  ///< Size of the writes, including kWriteOverheadBytes each.
 };
 
-/// One request. It has one owner at a time, which either responds to it or hands it on: a queue, or
-/// the continuation of a call. It is copyable only because continuations must be.
+/// A request. It has one owner at a time, a queue or the callback of a store request, which either
+/// responds to it or passes it on. It is copyable only because callbacks must be.
 struct JobRequest {
     RequestId id;
     JobId job;
     RequestKind kind = RequestKind::poll;
     Instant received_at{};
-    std::optional<sansio::Refusal> refusal{};  ///< Of a rejected submission.
-    Submission submission{};                   ///< Of a submission.
-    /// None of the job's ancestors was terminal in a check apart from the transaction that confirms
-    /// the response, because they are too many for it.
+    std::optional<sansio::Refusal> refusal{};  ///< Set for a rejected submission.
+    Submission submission{};                   ///< Set for a submission.
+    /// Whether a separate ancestor check found no terminal ancestor. Such a check is needed if the
+    /// transaction that confirms the response cannot have enough preconditions for all of them.
     bool ancestors_checked = false;
-    int attempts = 0;
+    int attempts = 0;  ///< How often it was queued, or its cancellation conflicted.
 };
 
-/// Called once for each waiting request. True: the request has been responded to and is to be
-/// dropped.
+/// Decides whether a waiting request is dropped. Called once for each request; if it returns true,
+/// it has responded to the request.
 using DropPredicate = std::function<bool(const JobRequest&)>;
 
 }  // namespace dunebridge::api
--- a/src/api/job_responder.hpp
+++ b/src/api/job_responder.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Responds to users with the states of jobs.
+/// Sends the responses to users' requests about jobs.
 #pragma once
 
 #include <functional>
@@ -12,32 +12,33 @@
 
 namespace dunebridge::api {
 
-/// Returns how far an open job is, by the leader's own cluster state or by its heartbeats. It is
-/// for display only, and may be stale.
+/// Returns the progress of an open job, from the cluster state on the leader and from the leader's
+/// heartbeats elsewhere. It is for display only and may be stale.
 using GetProgress = std::function<coordination::JobProgress(const JobId&)>;
-/// Called once those who must know of a cancellation before its user know it, or cannot be reached.
+/// Called once every node that must know of a cancellation before the user does either knows it or
+/// cannot be reached.
 using OnPublished = std::function<void()>;
-/// Hands a committed cancellation to those who must know of it before its user is responded to.
+/// Publishes a committed cancellation to the nodes that must know of it before the user gets a
+/// response.
 using PublishCancellation = std::function<void(const JobId&, OnPublished)>;
 
-/// Writes the responses that users get about jobs.
+/// Responds to requests about jobs. Each request must be responded to exactly once.
 class JobResponder {
   public:
     JobResponder(sansio::Context& context, JobCache& cache, GetProgress get_progress,
                  PublishCancellation publish_cancellation);
 
-    /// Responds if the cache knows that the job is terminal; returns whether it did.
+    /// Responds if the job is terminal according to the cache. Returns whether it responded.
     bool respond_if_terminal(const JobRequest& request);
     /// Responds with a terminal state that has just been read or written, and caches it. A
-    /// cancellation is published first: no response shows one that this node's cancellation log
-    /// does not hold.
+    /// cancellation is published first, so that no response shows a cancellation that is missing
+    /// from this node's cancellation log.
     void respond_terminal(JobRequest request, const wire::JobStatus& terminal);
-    /// Responds that the job has been accepted and is in that state.
+    /// Responds that the job has been created, with its state.
     void respond_created(const JobRequest& request, const wire::JobStatus& status);
-    /// Responds to a request for which a transaction has confirmed that the job is open, or
-    /// unknown, as the cache says.
+    /// Responds with the cached state, open or unknown, which a transaction must have confirmed.
     void respond_confirmed(const JobRequest& request);
-    /// Asks the user to try again, after a delay that differs from request to request.
+    /// Asks the user to retry after a delay with random jitter.
     void respond_unavailable(const JobRequest& request);
 
   private:
--- a/src/api/job_service.cpp
+++ b/src/api/job_service.cpp
@@ -71,8 +71,8 @@
     }
 }
 
-// Nobody is kept waiting for a key-value store that does not answer, nor in a queue that only
-// grows.
+// Requests are refused at once if the key-value store does not respond or the queue is full, so
+// that users do not wait in vain and the queues stay bounded.
 bool JobService::may_enqueue(const JobRequest& request, std::size_t queued) const {
     return request.attempts <= kMaxAttempts && queued < kMaxQueuedRequests &&
            kv_client_.time_since_response() <= kStoreUnresponsiveAfter && !is_overdue(request);
@@ -124,10 +124,10 @@
     }
 }
 
-// ---- sending and giving up ----
+// ---- sending reads and refusing overdue requests ----
 
-// Confirmations and lookups take turns, so that neither uses the whole budget: users who ask in
-// masses must not crowd out the leader's reads and writes, nor one another.
+// Confirmations and lookups alternate, so that neither uses up the whole budget. The budget keeps
+// bursts of user requests from starving the leader's reads and writes, or one another.
 void JobService::send_reads() {
     for (;;) {
         const bool may_confirm = read_queue_.may_send();
@@ -147,7 +147,7 @@
     }
 }
 
-// Requests may have waited for a budget, a lookup or a check.
+// Covers requests that wait for a rate budget, a lookup or an ancestor check.
 void JobService::refuse_overdue() {
     const auto refuse_if_overdue = [this](const JobRequest& request) {
         if (!is_overdue(request)) return false;
--- a/src/api/job_service.hpp
+++ b/src/api/job_service.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The users' interface: submissions, polls and cancellations, at any node.
+/// The user API: submission, polling and cancellation of jobs, at any node.
 #pragma once
 
 #include <string>
@@ -24,33 +24,34 @@
 
 namespace dunebridge::api {
 
-/// Owns the parts of the users' interface and routes requests between them:
+/// Owns the components of the user API and routes requests between them:
 ///
-/// - SubmissionService and SubmissionQueue accept a job by creating its job record, provided that
-/// it
-///   has neither a job record nor a terminal record.
-/// - CancellationService ends a job by creating its terminal record, which happens once.
-/// - LinearizableReadQueue confirms a response which says that a job is open, or unknown, by a
-///   transaction that only compares, for many requests at once.
-/// - AncestorCheckQueue and AncestorResolver see to it that no response calls a job open that has a
-///   cancelled ancestor.
+/// - SubmissionService and SubmissionQueue accept a job by creating its job record, on condition
+///   that neither a job record nor a terminal record exists.
+/// - CancellationService cancels a job by creating its terminal record, on condition that none
+///   exists.
+/// - LinearizableReadQueue confirms that a job is open, or unknown, before a response says so. One
+///   transaction without writes confirms many responses.
+/// - AncestorCheckQueue and AncestorResolver ensure that no response reports a job with a cancelled
+///   ancestor as open.
 ///
-/// Where the key-value store does not answer, users are asked to try again at once.
+/// If the key-value store does not respond, users are told immediately to retry.
 class JobService final : private RequestPipeline {
   public:
-    /// `types` are the machine types that the cloud offers; empty until they are known.
+    /// `types` are the machine types that the cloud offers; empty until they are known. All
+    /// references must remain valid for the lifetime of the service.
     JobService(sansio::Context& context, kv::KvClient& kv_client, const config::Config& config,
                const std::vector<wire::MachineType>& types, GetProgress get_progress,
                PublishCancellation publish_cancellation);
 
-    // Each responds to the request once, within this call or later.
+    // Each function responds to the request exactly once, during the call or later.
 
     void submit(RequestId request, const std::string& body);
     void poll(RequestId request, const JobId& job);
     void cancel(RequestId request, const JobId& job);
 
-    /// Sends what is queued as far as the budgets allow, and refuses what has waited too long. To
-    /// be called in each step.
+    /// Sends queued requests as far as the rate budgets allow, and refuses requests that have
+    /// waited too long. Must be called in every step of the controller.
     void tick();
 
   private:
@@ -61,6 +62,8 @@
     void prepare_submission(JobRequest request) override;
     void commit_cancellation(JobRequest request) override;
 
+    /// Returns whether the request can still be served in time; `queued` is the length of its
+    /// queue.
     bool may_enqueue(const JobRequest& request, std::size_t queued) const;
     bool is_overdue(const JobRequest& request) const;
     void send_reads();
@@ -79,7 +82,7 @@
     AncestorCheckQueue ancestor_checks_;
     AncestorResolver ancestor_resolver_;
     CancellationService cancellations_;
-    bool look_up_next_ = false;  ///< Whether a lookup has its turn before a confirmation.
+    bool look_up_next_ = false;  ///< Whether the next read is a lookup, if there is one.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/linearizable_read_queue.hpp
+++ b/src/api/linearizable_read_queue.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Confirms responses which say that a job is open or unknown, many in one transaction.
+/// Confirms responses that report a job as open or unknown, many in one transaction.
 #pragma once
 
 #include <cstddef>
@@ -16,11 +16,12 @@
 
 namespace dunebridge::api {
 
-/// Linearizable reads: what the cache says of an open or unknown job may be out of date, as any
-/// node may have ended it since. A transaction that only compares confirms that the job record is
-/// the one in the cache and that neither the job nor a guarded ancestor is terminal. Without it the
-/// request is refused, so that no response is older than one that some node has given before. A job
-/// with a cancelled ancestor counts as cancelled, also before the leader has written that.
+/// Queue of linearizable reads. The cached state of an open or unknown job may be stale, because
+/// any node may have changed it. A transaction without writes confirms that the job record still
+/// has the cached revision and that neither the job nor a guarded ancestor is terminal. A request
+/// that cannot be confirmed is refused, so that no response is staler than an earlier one from any
+/// node. A job with a cancelled ancestor counts as cancelled even before the leader has recorded
+/// that.
 class LinearizableReadQueue {
   public:
     LinearizableReadQueue(kv::KvClient& kv_client, JobCache& cache, JobResponder& responder,
@@ -28,12 +29,12 @@
 
     std::size_t size() const { return queue_.size(); }
     void push(JobRequest request) { queue_.push_back(std::move(request)); }
-    /// Whether there are requests, and another transaction may be sent for them.
+    /// Returns whether there are requests and fewer than kMaxReadTransactions are in flight.
     bool may_send() const;
-    /// Sends one transaction for as many requests as it has room for. The caller keeps to the read
-    /// budget.
+    /// Sends one transaction for as many requests as its limit on preconditions allows. The caller
+    /// is responsible for the read budget.
     void send();
-    /// Drops requests from the front for as long as the condition holds.
+    /// Removes requests from the front for as long as the predicate returns true.
     void drop_front_while(const DropPredicate& drop);
 
   private:
@@ -45,7 +46,7 @@
     JobResponder& responder_;
     RequestPipeline& pipeline_;
     std::deque<JobRequest> queue_;
-    int in_flight_ = 0;  ///< Transactions.
+    int in_flight_ = 0;  ///< Number of transactions.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/request_limits.hpp
+++ b/src/api/request_limits.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How long and how often the users' interface tries, and how much it has under way at once.
+/// Timeouts, retry limits and concurrency limits of the user API.
 #pragma once
 
 #include <chrono>
@@ -10,52 +10,55 @@
 
 namespace dunebridge::api {
 
-// ---- waiting for the key-value store ----
+// ---- timeouts of the key-value store ----
 
 inline constexpr Millis kReadTimeout{1500};
 inline constexpr Millis kWriteTimeout{3000};
-/// For all reads of the jobs that a submission names, together.
+/// Total time for looking up the dependencies of a submission, counted from its arrival.
 inline constexpr Millis kDependencyLookupTimeout{1500};
-/// A store that has given no good response for so long is taken to be down: requests are refused at
-/// once.
+/// After this time without a usable response, the store is considered down and requests are refused
+/// immediately.
 inline constexpr Millis kStoreUnresponsiveAfter{300};
 
 // ---- requests ----
 
-/// A request that has waited for longer is refused. A store that takes seconds is still of use:
-/// users wait 2 s for the response to a poll, and 5 s for the others'.
+/// Requests that have waited for longer are refused. A store that takes seconds to respond is still
+/// usable: users wait 2 s for the response to a poll and 5 s for the others.
 inline constexpr Millis kMaxRequestAge{1500};
-/// How often a request is queued, or its cancellation committed, before it is refused.
+/// How often a request may be queued, or the commit of its cancellation retried, before it is
+/// refused.
 inline constexpr int kMaxAttempts = 5;
-/// Requests in each queue.
+/// Limit for each of the read and submission queues.
 inline constexpr std::size_t kMaxQueuedRequests = 400;
-/// Requests that are refused together come back spread over so many seconds.
+/// Spreads the retries of requests that are refused at the same time over this many seconds.
 inline constexpr std::uint64_t kRetryJitter_s = 3;
 
 // ---- transactions ----
 
-/// Of each kind, under way at once.
+// Transactions in flight at the same time.
 inline constexpr int kMaxReadTransactions = 2;
 inline constexpr int kMaxWriteTransactions = 2;
-/// Preconditions of a request on the two records of its own job.
+/// Preconditions of a request on its own job: one each on the job record and the terminal record.
 inline constexpr std::size_t kOwnJobPreconditions = 2;
-/// Size of the writes of one transaction, if it has those of several submissions.
+/// Limit on the size of the writes of a transaction with more than one submission.
 inline constexpr std::size_t kMaxBatchBytes = std::size_t{30} * 1024;
-/// What a write and its preconditions count besides the value.
+/// Size that a write and its preconditions add to that of the value.
 inline constexpr std::size_t kWriteOverheadBytes = 200;
 
 // ---- ancestor checks ----
 
-/// A check is valid for the cancellation deadline divided by this.
+/// A check stays valid for the cancellation deadline divided by this number.
 inline constexpr int kAncestorCheckValidityDivisor = 8;
 inline constexpr std::size_t kMaxConcurrentAncestorChecks = 64;
 
 // ---- shares of the store's rate limits ----
 
-/// A node's share of the writes; most of the rest is for the leader's own records.
+/// Share of the write rate that each node may use for users. Most of the rest is for the leader's
+/// own records.
 inline constexpr double kWriteSharePerNode = 0.2;
-/// What all nodes together may read for users. The rest is for the leader: its lease, its watches,
-/// its transactions, and the cluster state that it reads when a term begins.
+/// Share of the request rate that all nodes together may use to read for users. The rest is for the
+/// leader: its lease, its watches, its transactions, and loading the cluster state when a term
+/// begins.
 inline constexpr double kReadShareOfAllNodes = 0.5;
 
 }  // namespace dunebridge::api
--- a/src/api/request_pipeline.hpp
+++ b/src/api/request_pipeline.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The steps by which the parts of the users' interface hand requests to one another.
+/// Interface through which the components of the user API pass requests to one another.
 #pragma once
 
 #include <vector>
@@ -9,8 +9,8 @@
 
 namespace dunebridge::api {
 
-/// Implemented by JobService, which owns all parts. Each step takes over the request and sees to it
-/// that it is responded to.
+/// The steps of processing a request, implemented by JobService, which owns all components. Each
+/// step takes ownership of the request and ensures that it gets a response.
 class RequestPipeline {
   public:
     RequestPipeline() = default;
@@ -20,16 +20,17 @@
     RequestPipeline& operator=(RequestPipeline&&) = delete;
 
     /// Queues the request for the transaction that creates its job or confirms its response.
-    /// Responds at once if the job is known to be terminal, or the request can't be served in time.
+    /// Responds immediately if the job is known to be terminal or the request cannot be served in
+    /// time.
     virtual void enqueue(JobRequest request) = 0;
-    /// As enqueue(), for a read that has been admitted before and whose ancestors have been
-    /// checked.
+    /// Queues a read that enqueue() has already admitted and whose ancestors have been checked.
     virtual void enqueue_checked_read(JobRequest request) = 0;
     /// Reads the records of the request's job.
     virtual void look_up(JobRequest request, JobLookup::RecordKind first_record) = 0;
-    /// Finds out how these ancestors of the request's job have ended, and what that makes of it.
+    /// Reads how these terminal ancestors of the request's job ended, and cancels the job or
+    /// continues the request accordingly.
     virtual void resolve_ancestors(JobRequest request, std::vector<JobId> terminal) = 0;
-    /// Makes the records of a submission whose dependencies are known, and queues it.
+    /// Builds the records of a submission whose dependencies are known, and queues it.
     virtual void prepare_submission(JobRequest request) = 0;
     /// Creates the terminal record that cancels the request's job.
     virtual void commit_cancellation(JobRequest request) = 0;
--- a/src/api/submission_queue.cpp
+++ b/src/api/submission_queue.cpp
@@ -59,7 +59,8 @@
 }
 
 bool SubmissionQueue::fits(const Batch& batch, const JobRequest& request) const {
-    // Whatever it takes, each submission is prepared so that it fits one transaction alone.
+    // Every submission is prepared so that it fits a transaction of its own, hence an empty batch
+    // accepts any.
     if (batch.writes.empty()) return true;
     const auto& submission = request.submission;
     return batch.preconditions.max_size_with(request) <= kv_client_.max_preconditions() &&
@@ -84,13 +85,13 @@
         if (result.outcome == kv::TransactionOutcome::ok) {
             handle_created(request, result.rev);
         } else if (result.outcome == kv::TransactionOutcome::refused && kv_client_.reachable()) {
-            // The store is over its rate limit: certainly nothing was written. It is tried again as
-            // the budget allows.
+            // The store's rate limit was exceeded, so nothing was written. The submission is
+            // retried as the write budget allows.
             pipeline_.enqueue(std::move(request));
         } else if (result.outcome == kv::TransactionOutcome::conflict) {
             handle_conflict(std::move(request), failed);
         } else {
-            // Nothing was written, or that is not known: the user's repeat finds out.
+            // Either nothing was written or the outcome is unknown. The user's retry resolves it.
             responder_.respond_unavailable(request);
         }
     }
@@ -99,8 +100,8 @@
 void SubmissionQueue::handle_created(const JobRequest& request, KeyRevision revision) {
     wire::JobStatus status{request.job, JobPhase::pending, 0, 0};
     if (request.submission.cancelled) {
-        // Accepted all the same. Nobody else needs to know of the cancellation: no task of the job
-        // can be anywhere.
+        // The job is accepted nevertheless. The cancellation need not be published, because none of
+        // its tasks can be running.
         status.phase = JobPhase::cancelled;
         cache_.set_terminal(request.job, status);
     } else {
@@ -114,7 +115,7 @@
     const bool known =
         failed.contains(kv::job_key(request.job)) || failed.contains(kv::terminal_key(request.job));
     if (known) {
-        // A repeated submission is answered with the state of the job that has its id.
+        // A repeated submission gets the state of the existing job with its id.
         request.kind = RequestKind::poll;
         pipeline_.look_up(std::move(request), JobLookup::RecordKind::terminal_record);
         return;
--- a/src/api/submission_queue.hpp
+++ b/src/api/submission_queue.hpp
@@ -18,11 +18,11 @@
 
 namespace dunebridge::api {
 
-/// A queue of prepared submissions.
+/// Queue of prepared submissions.
 ///
-/// A job is accepted by creating its job record while it has neither a job record nor a terminal
-/// record: however often a submission is repeated, one job comes of it. The same transaction
-/// requires that no guarded ancestor is terminal.
+/// A job is accepted by creating its job record on condition that neither a job record nor a
+/// terminal record exists. Submissions are therefore idempotent: a repeated one creates no second
+/// job. The same transaction requires that no guarded ancestor is terminal.
 class SubmissionQueue {
   public:
     SubmissionQueue(sansio::Context& context, kv::KvClient& kv_client, const config::Config& config,
@@ -30,21 +30,24 @@
 
     std::size_t size() const { return queue_.size(); }
     void push(JobRequest request) { queue_.push_back(std::move(request)); }
-    /// Sends transactions as far as the write budget allows.
+    /// Sends transactions as far as the write budget and kMaxWriteTransactions allow.
     void send();
-    /// Drops requests from the front for as long as the condition holds.
+    /// Removes requests from the front for as long as the predicate returns true.
     void drop_front_while(const DropPredicate& drop);
 
   private:
+    /// The content of one transaction.
     struct Batch {
         std::vector<JobRequest> requests;
         BatchPreconditions preconditions;
         std::vector<wire::Write> writes;
-        std::size_t bytes = 0;  ///< Of the writes.
+        std::size_t bytes = 0;  ///< Size of the writes.
     };
 
-    /// Tokens of the write budget for the next transaction.
+    /// Returns the tokens that the next transaction takes from the write budget.
     double next_cost() const;
+    /// Removes as many requests from the front of the queue as fit one transaction. Requests for
+    /// the same job share one set of writes.
     Batch take_batch();
     bool fits(const Batch& batch, const JobRequest& request) const;
     void send(Batch batch);
@@ -60,7 +63,7 @@
     RequestPipeline& pipeline_;
     TokenBucket write_budget_;
     std::deque<JobRequest> queue_;
-    int in_flight_ = 0;  ///< Transactions.
+    int in_flight_ = 0;  ///< Number of transactions.
 };
 
 }  // namespace dunebridge::api
--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -57,7 +57,7 @@
             {kv::terminal_key(spec.id), cancellation_record(now_ms), std::nullopt});
     } else if (!prepare_single_record(submission)) {
         if (spec.waits_on.empty()) return PrepareResult::too_large;
-        // An older leader would not find the parts, and start the tasks early.
+        // A leader of an older version would ignore the parts and start the tasks too early.
         if (format < config::kSplitDependencyFormat) return PrepareResult::format_not_adopted;
         if (!prepare_parts(submission)) return PrepareResult::too_many_dependencies;
     }
@@ -67,7 +67,8 @@
     return PrepareResult::ready;
 }
 
-// All in the job record, if it fits and one transaction can guard all ancestors.
+// Puts everything into the job record, if it fits and one transaction can have preconditions on all
+// ancestors. Returns whether it could.
 bool SubmissionRecordBuilder::prepare_single_record(Submission& submission) const {
     const auto& record = submission.record;
     auto packed = encode(record);
@@ -97,9 +98,9 @@
     return true;
 }
 
-// The direct dependencies, and as many of the further ancestors as one transaction can write; a
-// cancellation of one that is left out reaches the job through the leader alone. None if not even
-// the direct dependencies fit.
+// Encodes the direct dependencies and as many of the transitive ones as one transaction can write.
+// The cancellation of an ancestor that is left out reaches the job only through the leader. Returns
+// nothing if not even the direct dependencies fit.
 std::optional<std::vector<kv::PackedRecord>> SubmissionRecordBuilder::encode_parts(
     const kv::JobRecord& record) const {
     const auto& named = record.spec.waits_on;
@@ -109,7 +110,7 @@
         const bool is_direct = std::binary_search(named.begin(), named.end(), id);
         (is_direct ? direct : further).push_back(id);
     }
-    const auto max_parts = config_.kv_limits.txn_ops() - 1;  // one write is for the job record
+    const auto max_parts = config_.kv_limits.txn_ops() - 1;  // one write is the job record
     const auto max_bytes = config_.kv_limits.value_bytes();
     auto parts = kv::encode_dependency_parts(direct, true, max_bytes);
     if (parts.size() > max_parts) return std::nullopt;
--- a/src/api/submission_records.hpp
+++ b/src/api/submission_records.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What a submission writes to the key-value store: the job record, with all of the job's
-/// dependencies if they fit, else with records of their own beside it.
+/// Builds the records that a submission writes to the key-value store: a job record that includes
+/// the job's dependencies, or, if they do not fit, a job record and separate dependency parts.
 #pragma once
 
 #include <cstdint>
@@ -15,27 +15,28 @@
 
 namespace dunebridge::api {
 
-/// The refusal of a job that can never run: its team is unknown, or its tasks are larger than the
-/// team's limit or than every machine type that it allows. None if it can run.
+/// Returns a refusal if the job can never run because its team is unknown, a task exceeds the
+/// team's limit, or a task fits no machine type that the job allows. Returns nothing if it can run.
 std::optional<sansio::Refusal> check_runnable(const wire::JobSpec& spec,
                                               const config::Config& config,
                                               const std::vector<wire::MachineType>& types);
 
-/// Whether a submission can be written, and if not, why.
+/// Whether a submission can be written, or the reason why not.
 enum class PrepareResult : std::uint8_t {
     ready,
-    too_large,              ///< The job's description is larger than a record may be.
-    too_many_dependencies,  ///< It directly depends on more jobs than one transaction can write.
-    format_not_adopted      ///< It needs a record format that is not in force yet.
+    too_large,              ///< The job's description exceeds the maximum size of a record.
+    too_many_dependencies,  ///< Its direct dependencies do not fit one transaction.
+    format_not_adopted      ///< It needs a record format that has not been adopted yet.
 };
 
-/// Builds the records that a submission writes. Pure: reads the configuration only.
+/// Builds the records that a submission writes. Has no side effects beyond the submission.
 class SubmissionRecordBuilder {
   public:
     explicit SubmissionRecordBuilder(const config::Config& config) : config_(config) {}
 
-    /// Fills in the submission's writes, for a store in that record format. `now_ms` is the time of
-    /// day, in milliseconds since the epoch. May be repeated when the ancestors have changed.
+    /// Fills in the submission's writes for the adopted record format `format`. `now_ms` is the
+    /// wall clock time in milliseconds since the Unix epoch. May be called again after the
+    /// ancestors have changed.
     PrepareResult prepare(Submission& submission, std::uint64_t format, std::int64_t now_ms) const;
 
   private:
@@ -46,7 +47,8 @@
     const config::Config& config_;
 };
 
-/// The terminal record of a cancellation by a node that does not know how many tasks the job has.
+/// Returns the encoded terminal record of a cancelled job, without the number of its tasks, which
+/// the cancelling node may not know. `now_ms` is in milliseconds since the Unix epoch.
 std::string cancellation_record(std::int64_t now_ms);
 
 }  // namespace dunebridge::api
--- a/src/api/submission_service.cpp
+++ b/src/api/submission_service.cpp
@@ -44,7 +44,7 @@
 }
 
 void SubmissionService::submit_valid(JobRequest request) {
-    // Without the machine types it can't be known whether the job fits one.
+    // Until the machine types are known, it cannot be decided whether the job fits any.
     if (types_.empty()) {
         responder_.respond_unavailable(request);
         return;
@@ -67,8 +67,8 @@
 
 // ---- dependencies ----
 
-// A version that does not know dependencies would start the job's tasks early: until none of them
-// can lead any more, the submission is refused for the time being.
+// A leader of a version without support for dependencies would start the job's tasks too early.
+// Until no such version can become leader, the user is told to retry.
 void SubmissionService::submit_dependent(JobRequest request) {
     if (record_format_ >= config::kNewestFormat) {
         look_up_dependencies(std::move(request));
--- a/src/api/submission_service.hpp
+++ b/src/api/submission_service.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Takes submissions: decodes and validates them, looks up the jobs on which they depend, and has
-/// their records prepared.
+/// Handles submissions up to the SubmissionQueue: decodes and validates them, looks up their
+/// dependencies, and prepares their records.
 #pragma once
 
 #include <cstdint>
@@ -20,11 +20,11 @@
 
 namespace dunebridge::api {
 
-/// The way of a submission up to the SubmissionQueue.
+/// Handles a submission from its arrival until it is queued.
 ///
-/// A repeated submission is answered by its id with the state of its job, whatever else it carries:
-/// so a user who got no response may repeat it until there is one. For that reason a submission
-/// that is invalid is refused only once a transaction has confirmed that no job has its id.
+/// A submission with the id of an existing job gets the state of that job, regardless of its other
+/// content, so that a user who got no response can repeat it safely. An invalid submission is
+/// therefore refused only after a transaction has confirmed that no job has its id.
 class SubmissionService {
   public:
     /// `types` are the machine types that the cloud offers; empty until they are known.
@@ -32,9 +32,10 @@
                       const config::Config& config, const std::vector<wire::MachineType>& types,
                       JobCache& cache, JobResponder& responder, RequestPipeline& pipeline);
 
-    /// Takes a submission as it was received.
+    /// Handles a submission; `body` is the encoded job. A body without a readable job id is refused
+    /// immediately.
     void submit(RequestId id, const std::string& body);
-    /// Makes the records of a submission whose dependencies are known, and enqueues it.
+    /// Builds the records of a submission whose dependencies are known, and enqueues it.
     void prepare(JobRequest request);
 
   private:
@@ -53,7 +54,7 @@
     RequestPipeline& pipeline_;
     DependencyLookup dependency_lookup_;
     SubmissionRecordBuilder record_builder_;
-    /// The record format in force, as far as this node has read; 0: the oldest.
+    /// The adopted record format as last read by this node; 0 means the oldest.
     std::uint64_t record_format_ = 0;
 };
 
