--- a/src/api/batch_preconditions.cpp
+++ b/src/api/batch_preconditions.cpp
@@ -9,8 +9,8 @@
     if (request.ancestors_checked) return {};
     if (request.kind != RequestKind::submission) return cache.ancestors(request.job);
     const auto& submission = request.submission;
-    // A job with dependency parts has too many ancestors for its submission to check. Polls and the
-    // leader check them.
+    // The submission of a job with dependency parts does not check the ancestors, which may be too
+    // many for one transaction. Polls and the leader check them.
     const bool has_parts = submission.writes.size() > 1;
     if (submission.cancelled || has_parts) return {};
     return submission.record.ancestors;
--- a/src/api/submission_records.hpp
+++ b/src/api/submission_records.hpp
@@ -16,7 +16,8 @@
 namespace dunebridge::api {
 
 /// Returns a refusal if the job can never run because its team is unknown, a task exceeds the
-/// team's limit, or a task fits no machine type that the job allows. Returns nothing if it can run.
+/// team's limit, or a task fits no machine type that the job allows, or none in the zone that the
+/// job requires. Returns nothing if the job can run.
 std::optional<sansio::Refusal> check_runnable(const wire::JobSpec& spec,
                                               const config::Config& config,
                                               const std::vector<wire::MachineType>& types);
