--- a/src/api/batch_preconditions.cpp
+++ b/src/api/batch_preconditions.cpp
@@ -9,7 +9,8 @@
     if (request.ancestors_checked) return {};
     if (request.kind != RequestKind::submission) return cache.ancestors(request.job);
     const auto& submission = request.submission;
-    // The ancestors of a job with dependency parts are seen to by polls and by the leader.
+    // The submission of a job with dependency parts does not check the ancestors, which may be too
+    // many for one transaction. Polls and the leader check them.
     const bool has_parts = submission.writes.size() > 1;
     if (submission.cancelled || has_parts) return {};
     return submission.record.ancestors;
@@ -25,7 +26,7 @@
 }
 
 bool BatchPreconditions::add(const JobRequest& request, KeyRevision job_record) {
-    if (!added_.insert(request.job).second) return false;
+    if (!jobs_.insert(request.job).second) return false;
     preconditions_.push_back({kv::job_key(request.job), job_record});
     require_not_terminal(request.job);
     for (const auto& id : guarded_ancestors(request, cache_)) require_not_terminal(id);
@@ -37,8 +38,8 @@
     preconditions_.push_back({kv::terminal_key(job), KeyRevision()});
 }
 
-std::size_t BatchPreconditions::size_with(const JobRequest& request) const {
-    return preconditions_.size() + kOwnPreconditions + guarded_ancestors(request, cache_).size();
+std::size_t BatchPreconditions::max_size_with(const JobRequest& request) const {
+    return preconditions_.size() + kOwnJobPreconditions + guarded_ancestors(request, cache_).size();
 }
 
 }  // namespace dunebridge::api
