--- a/src/controller/cancellation_broadcast.cpp
+++ b/src/controller/cancellation_broadcast.cpp
@@ -36,8 +36,8 @@
 }
 
 void CancellationBroadcast::apply(const JobId& job) {
-    state_.mark_cancelled(job, context_.wall_ms());
-    state_.ended(job, wire::JobPhase::cancelled);
+    state_.mark_terminal(job, context_.wall_ms());
+    state_.handle_job_end(job, wire::JobPhase::cancelled);
 }
 
 // The peer that leads; empty if there is none or it is this node. A leader that has just been
--- a/src/provisioning/demand_collector.cpp
+++ b/src/provisioning/demand_collector.cpp
@@ -49,7 +49,7 @@
     for (const auto& team : config_.teams) {
         const bool limited = team.cpus_max > 0;
         cores_under_quota[team.name] =
-            limited ? team.cpus_max - state_.use(team.name).cpus : kUnlimitedCores;
+            limited ? team.cpus_max - state_.team_usage(team.name).cpus : kUnlimitedCores;
     }
     for (const auto& [id, job] : state_.jobs()) {
         if (job.state != JobState::active || job.pending_tasks.empty() || job.is_blocked())
--- a/src/provisioning/machine_deleter.cpp
+++ b/src/provisioning/machine_deleter.cpp
@@ -38,7 +38,7 @@
     for (const auto& host : hosts) {
         queue_.erase(host);
         released_machines_.add(host);
-        if (auto* machine = state_.find_machine(host)) state_.drop_machine(*machine);
+        if (auto* machine = state_.find_machine(host)) state_.remove_machine(*machine);
     }
 }
 
--- a/src/provisioning/machine_inventory.cpp
+++ b/src/provisioning/machine_inventory.cpp
@@ -84,7 +84,7 @@
     instance.listed = true;
     instance.missed_listings = 0;
     if (machine->machine_type.empty()) {
-        state_.describe(*machine, row.machine_type, row.zone, row.spot);
+        state_.set_machine_properties(*machine, row.machine_type, row.zone, row.spot);
     }
     if (!machine->worker.heartbeat_received) {
         instance.provisioned_at =
@@ -95,7 +95,7 @@
     // A failed machine has stopped: whatever was on it is gone.
     instance.failed = true;
     while (!machine->placements.empty())
-        state_.remove(*machine, machine->placements.begin()->first);
+        state_.remove_placement(*machine, machine->placements.begin()->first);
     on_machine_failed_(*machine);
 }
 
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -74,7 +74,7 @@
 
 bool ScaleOut::may_send(const std::string& idempotency_key) {
     if (in_flight_.contains(idempotency_key)) return false;
-    if (!state_.scale_out_committed(idempotency_key)) return false;
+    if (!state_.is_scale_out_committed(idempotency_key)) return false;
     const auto retry = retry_at_.find(idempotency_key);
     if (retry == retry_at_.end() || context_.now() >= retry->second) return true;
     context_.request_wake(retry->second);
@@ -127,7 +127,7 @@
     auto hosts = result.hosts;
     // A repeated request may name machines that have been deleted since.
     std::erase_if(hosts, [&](const auto& host) { return released_machines_.contains(host); });
-    state_.scale_out_answered(idempotency_key, hosts);
+    state_.apply_scale_out_response(idempotency_key, hosts);
     for (const auto& host : hosts) {
         auto* machine = state_.find_machine(host);
         if (machine && requested_in_this_term(idempotency_key)) {
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -63,7 +63,7 @@
 }
 
 std::size_t Scheduler::tasks_within_quota(const Job& job) {
-    return scheduler::tasks_within_quota(job, config_, state_.use(job.spec.team));
+    return scheduler::tasks_within_quota(job, config_, state_.team_usage(job.spec.team));
 }
 
 void Scheduler::place_tasks(const PendingJob& pending) {
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -20,16 +20,16 @@
     : context_(port),
       election_(election),
       dependencies_(port, store, jobs_,
-                    {[this] { return current(generation_); },
+                    {[this] { return is_current(generation_); },
                      [this](Job& job) { cancel_with_dependency(job); }}),
       dirty_(port) {}
 
-bool ClusterState::current(std::uint64_t generation) const {
+bool ClusterState::is_current(std::uint64_t generation) const {
     return generation == generation_ && election_.is_leader() &&
            election_.generation() == generation;
 }
 
-void ClusterState::begin() {
+void ClusterState::begin_term() {
     clear();
     generation_ = election_.generation();
     next_attempt_ = election_.term().get() << kAttemptBits;
@@ -89,7 +89,7 @@
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void ClusterState::mark_cancelled(const JobId& id, std::int64_t at_ms) {
+void ClusterState::mark_terminal(const JobId& id, std::int64_t at_ms) {
     Job* job = find_job(id);
     if (!job || job->state == JobState::terminal) return;
     // A done job's end is this leader's own write: the answer to the commit settles it.
@@ -103,7 +103,7 @@
         if (!task.placement) continue;
         auto& machine = *task.placement->machine;
         if (task.placement->commit == CommitState::uncommitted) {
-            remove(machine, {job->sequence, task.placement->index});
+            remove_placement(machine, {job->sequence, task.placement->index});
         }
         request_commands(machine);
     }
@@ -183,11 +183,11 @@
 Machine& ClusterState::add_machine(const MachineName& host, const std::string& machine_type,
                                    const std::string& zone, bool spot) {
     if (auto* known = find_machine(host)) {
-        describe(*known, machine_type, zone, spot);
+        set_machine_properties(*known, machine_type, zone, spot);
         return *known;
     }
     auto& machine = create_machine(host);
-    describe(machine, machine_type, zone, spot);
+    set_machine_properties(machine, machine_type, zone, spot);
     machine.scale_out_key = "x-" + host.get();
     scale_outs_[machine.scale_out_key] = {
         {machine.scale_out_key, machine_type, zone, spot, 1}, true, {host}};
@@ -195,8 +195,8 @@
     return machine;
 }
 
-void ClusterState::describe(Machine& machine, const std::string& machine_type,
-                            const std::string& zone, bool spot) {
+void ClusterState::set_machine_properties(Machine& machine, const std::string& machine_type,
+                                          const std::string& zone, bool spot) {
     if (machine.machine_type != machine_type) machine.capacity = {};
     machine.machine_type = machine_type;
     machine.spot = spot;
@@ -232,8 +232,9 @@
     if (it->second.hosts.empty()) scale_outs_.erase(it);
 }
 
-void ClusterState::drop_machine(Machine& machine) {
-    while (!machine.placements.empty()) remove(machine, machine.placements.begin()->first);
+void ClusterState::remove_machine(Machine& machine) {
+    while (!machine.placements.empty())
+        remove_placement(machine, machine.placements.begin()->first);
     detach_from_scale_out(machine);
     std::erase(needing_commands_, &machine);
     const auto host = machine.host;
@@ -283,7 +284,7 @@
     attach(machine, job, index, p);
 }
 
-void ClusterState::remove(Machine& machine, PlacementKey key) {
+void ClusterState::remove_placement(Machine& machine, PlacementKey key) {
     const auto it = machine.placements.find(key);
     if (it == machine.placements.end()) return;
     set_running(it->second, false);
@@ -335,14 +336,15 @@
     if (!rental.answered) unanswered_scale_outs_.insert(key);
     for (const auto& host : rental.hosts) {
         auto& machine = create_machine(host);
-        describe(machine, rental.request.machine_type, rental.request.zone, rental.request.spot);
+        set_machine_properties(machine, rental.request.machine_type, rental.request.zone,
+                               rental.request.spot);
         machine.scale_out_key = key;
     }
     scale_outs_.emplace(key, std::move(rental));
 }
 
-void ClusterState::scale_out_answered(const std::string& idempotency_key,
-                                      const std::vector<MachineName>& hosts) {
+void ClusterState::apply_scale_out_response(const std::string& idempotency_key,
+                                            const std::vector<MachineName>& hosts) {
     const auto it = scale_outs_.find(idempotency_key);
     if (it == scale_outs_.end()) return;
     unanswered_scale_outs_.erase(idempotency_key);
@@ -353,7 +355,8 @@
         // It may have reported before the scale-out request was answered.
         if (known) detach_from_scale_out(*known);
         auto& machine = known ? *known : create_machine(host);
-        describe(machine, rental.request.machine_type, rental.request.zone, rental.request.spot);
+        set_machine_properties(machine, rental.request.machine_type, rental.request.zone,
+                               rental.request.spot);
         machine.scale_out_key = idempotency_key;
         rental.hosts.insert(host);
     }
@@ -361,7 +364,7 @@
     if (rental.hosts.empty()) scale_outs_.erase(it);
 }
 
-bool ClusterState::scale_out_committed(const std::string& idempotency_key) const {
+bool ClusterState::is_scale_out_committed(const std::string& idempotency_key) const {
     return stored_.contains(kScaleOutPrefix + idempotency_key);
 }
 
--- a/src/state/cluster_state.hpp
+++ b/src/state/cluster_state.hpp
@@ -47,16 +47,16 @@
     // ---- the term that it is for ----
 
     /// Empties it for the term that has begun.
-    void begin();
+    void begin_term();
     void clear();
     /// Everything has been read; until then it may not be acted on.
     bool loaded() const { return loaded_; }
     void set_loaded() { loaded_ = true; }
     std::uint64_t generation() const { return generation_; }
     /// Whether this node still leads in the term for which the cluster state was begun.
-    bool current(std::uint64_t generation) const;
+    bool is_current(std::uint64_t generation) const;
     /// Whether it may be acted on in that term.
-    bool usable_in(std::uint64_t generation) const { return loaded_ && current(generation); }
+    bool usable_in(std::uint64_t generation) const { return loaded_ && is_current(generation); }
 
     // ---- jobs ----
 
@@ -64,9 +64,11 @@
     Job* add_job(kv::JobRecord record, KeyRevision revision);
     /// A job of which only progress is left on record: it is over.
     Job& add_terminal_job(const JobId& id);
-    void mark_cancelled(const JobId& id, std::int64_t at_ms);
+    void mark_terminal(const JobId& id, std::int64_t at_ms);
     /// The end is committed, and is this one: the jobs that wait for it go on, or end with it.
-    void ended(const JobId& id, wire::JobPhase how) { dependencies_.ended(id, how); }
+    void handle_job_end(const JobId& id, wire::JobPhase how) {
+        dependencies_.handle_job_end(id, how);
+    }
     Job* find_job(const JobId& id);
     std::map<JobId, Job>& jobs() { return jobs_; }
     DependencyGraph& dependencies() { return dependencies_; }
@@ -87,10 +89,10 @@
     Machine* find_machine(const MachineName& host);
     std::map<MachineName, Machine>& machines() { return machines_; }
     /// What a machine is, where its record does not say.
-    void describe(Machine& machine, const std::string& machine_type, const std::string& zone,
-                  bool spot);
+    void set_machine_properties(Machine& machine, const std::string& machine_type,
+                                const std::string& zone, bool spot);
     /// The machine is proved gone, and so is everything on it.
-    void drop_machine(Machine& machine);
+    void remove_machine(Machine& machine);
     void request_commands(Machine& machine);
     /// Those for which commands have been requested since the last call.
     std::vector<Machine*> take_machines_needing_commands();
@@ -101,25 +103,25 @@
     /// A placement that is on record.
     void restore_placement(Job& job, std::uint32_t index, Machine& machine, Attempt attempt);
     /// The placement is proved gone (or was never sent). The task waits again unless it is done.
-    void remove(Machine& machine, PlacementKey key);
+    void remove_placement(Machine& machine, PlacementKey key);
     void set_running(Placement& placement, bool running);
     /// Has the task stopped by a command to its worker, unless it is being stopped already; its
     /// resources count as about to be released. The task may save a checkpoint for `grace_s`
     /// seconds first.
     void stop_task(Placement& placement, double grace_s);
-    const TeamUsage& use(const std::string& team) { return use_[team]; }
+    const TeamUsage& team_usage(const std::string& team) { return use_[team]; }
 
     // ---- scale-out requests ----
 
     void add_scale_out(const wire::ScaleOutRequest& request);
     void restore_scale_out(ScaleOutRecord rental);
     /// The cloud's answer: the machines that the request has brought. Without any it is over.
-    void scale_out_answered(const std::string& idempotency_key,
-                            const std::vector<MachineName>& hosts);
+    void apply_scale_out_response(const std::string& idempotency_key,
+                                  const std::vector<MachineName>& hosts);
     const std::map<std::string, ScaleOutRecord>& scale_outs() const { return scale_outs_; }
     /// Idempotency keys of the requests that the cloud has not answered yet.
     const std::set<std::string>& unanswered_scale_outs() const { return unanswered_scale_outs_; }
-    bool scale_out_committed(const std::string& idempotency_key) const;
+    bool is_scale_out_committed(const std::string& idempotency_key) const;
 
     // ---- records ----
 
@@ -131,7 +133,7 @@
     void adopt_format(std::uint64_t format);
     Version version() const { return dirty_.version(); }
     /// The record's changes up to this version are in the key-value store.
-    bool committed(const std::string& key, Version version) const {
+    bool is_committed(const std::string& key, Version version) const {
         return dirty_.is_committed(key, version);
     }
     DirtyRecords& dirty() { return dirty_; }
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -38,7 +38,7 @@
       config_(config) {}
 
 void ClusterStateLoader::load() {
-    state_.begin();
+    state_.begin_term();
     started_at_ = context_.now();
     run_step(0);
 }
@@ -177,7 +177,7 @@
     } else if (result.outcome == kv::TransactionOutcome::conflict && !result.failed.empty()) {
         for (const auto& key : result.failed) {
             const JobId id(kv::without_prefix(key, kv::kTerminalPrefix));
-            state_.mark_cancelled(id, context_.wall_ms());
+            state_.mark_terminal(id, context_.wall_ms());
             std::erase(unchecked, id);
         }
     } else {
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -103,7 +103,7 @@
     const auto on_outcome = [this, transaction = std::move(transaction),
                              generation =
                                  state_.generation()](const kv::TransactionResult& result) {
-        if (state_.current(generation)) handle_outcome(transaction, result);
+        if (state_.is_current(generation)) handle_outcome(transaction, result);
     };
     retried_transaction_.send(std::move(preconditions), std::move(writes), on_outcome);
 }
@@ -199,7 +199,7 @@
         context_.log(sansio::LogLevel::info, "event=job_done id={} term={}", id.get(),
                      election_.term().get());
     }
-    state_.ended(id, phase);
+    state_.handle_job_end(id, phase);
 }
 
 void ClusterStateWriter::handle_conflict(const kv::TransactionResult& result) {
@@ -219,8 +219,8 @@
         if (!key.starts_with(kTerminalPrefix)) continue;
         found = true;
         const JobId id(without_prefix(key, kTerminalPrefix));
-        state_.mark_cancelled(id, context_.wall_ms());
-        state_.dependencies().read_end(id);
+        state_.mark_terminal(id, context_.wall_ms());
+        state_.dependencies().read_terminal_record(id);
     }
     return found;
 }
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -47,11 +47,11 @@
     propagate_priority(job);
     for (const auto& dependency : job.spec.waits_on) {
         const auto* other = find(dependency);
-        if (!other || other->state == JobState::terminal) read_end(dependency);
+        if (!other || other->state == JobState::terminal) read_terminal_record(dependency);
     }
 }
 
-void DependencyGraph::ended(const JobId& id, wire::JobPhase how) {
+void DependencyGraph::handle_job_end(const JobId& id, wire::JobPhase how) {
     std::vector<JobId> ends{id};
     while (!ends.empty()) {
         const auto end = ends.back();
@@ -76,7 +76,7 @@
 // The job is not in the cluster state, or how it ended is not known here: its end is read. It may
 // not be there yet, as what others write arrives in its own time. Those asked for together are read
 // together.
-void DependencyGraph::read_end(const JobId& id) {
+void DependencyGraph::read_terminal_record(const JobId& id) {
     if (!dependents_.contains(id) || !unread_ends_.insert(id).second || reading_) return;
     reading_ = true;
     after(Millis(0), [this] { read_ends(); });
@@ -100,7 +100,7 @@
     for (const auto& [key, row] : rows.entries) {
         const JobId id(kv::without_prefix(key, kv::kTerminalPrefix));
         unread_ends_.erase(id);
-        ended(id, kv::decode_terminal_record(row.value).phase);
+        handle_job_end(id, kv::decode_terminal_record(row.value).phase);
     }
     // What is open in the cluster state has no end yet; the watch reports it.
     std::erase_if(unread_ends_, [this](const JobId& id) {
--- a/src/state/dependency_graph.hpp
+++ b/src/state/dependency_graph.hpp
@@ -34,9 +34,9 @@
     /// The job waits on all that its submission names. Ends that are not known here are read.
     void add(Job& job);
     /// The job's end is committed: those that wait on it go on, or are cancelled, and so on.
-    void ended(const JobId& id, wire::JobPhase how);
+    void handle_job_end(const JobId& id, wire::JobPhase how);
     /// Reads how the job ended, if any other waits on it.
-    void read_end(const JobId& id);
+    void read_terminal_record(const JobId& id);
 
   private:
     void read_ends();
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -232,7 +232,7 @@
     if (undoable.empty()) return false;
     undoable.resize((undoable.size() + 1) / 2);
     for (auto* placement : undoable) {
-        state_.remove(*placement->machine, {tasks.job->sequence, placement->index});
+        state_.remove_placement(*placement->machine, {tasks.job->sequence, placement->index});
     }
     tasks.job->backoff.until = context_.now() + kBackoffAfterUndo;
     return true;
--- a/src/state/while_in_term.hpp
+++ b/src/state/while_in_term.hpp
@@ -18,7 +18,7 @@
                                                      Continuation continuation) {
     return [&cluster_state, generation = cluster_state.generation(),
             continuation = std::move(continuation)](const Results&... results) mutable {
-        if (cluster_state.current(generation)) continuation(results...);
+        if (cluster_state.is_current(generation)) continuation(results...);
     };
 }
 
--- a/src/workers/heartbeat_processor.cpp
+++ b/src/workers/heartbeat_processor.cpp
@@ -55,7 +55,7 @@
     worker.last_heartbeat_at = context_.now();
     machine.worker.endpoint = heartbeat.endpoint;
     machine.instance.starting = false;
-    state_.describe(machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot);
+    state_.set_machine_properties(machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot);
 }
 
 void HeartbeatProcessor::apply_preemption_notice(Machine& machine, Millis until_preemption) {
--- a/src/workers/placement_conditions.hpp
+++ b/src/workers/placement_conditions.hpp
@@ -35,7 +35,7 @@
     for (const auto& [key, placement] : machine.placements) {
         if (condition(placement)) keys.push_back(key);
     }
-    for (const auto& key : keys) cluster_state.remove(machine, key);
+    for (const auto& key : keys) cluster_state.remove_placement(machine, key);
 }
 
 }  // namespace dunebridge::workers
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -60,7 +60,7 @@
     }
     // With a new token the worker shows whether the next reply arrives.
     if (reply_lost) ++machine.worker.fence_counter;
-    for (const auto& key : gone) state_.remove(machine, key);
+    for (const auto& key : gone) state_.remove_placement(machine, key);
 }
 
 Reconciler::Finding Reconciler::assess(const Machine& machine, const Placement& placement,
--- a/src/workers/task_status_processor.cpp
+++ b/src/workers/task_status_processor.cpp
@@ -125,7 +125,7 @@
         default:
             if (placement.stop.preempted) state_.mark_preemption_protected(job, index);
     }
-    state_.remove(machine, {job.sequence, index});
+    state_.remove_placement(machine, {job.sequence, index});
 }
 
 void TaskStatusProcessor::complete(Machine& machine, Placement& placement) {
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -66,10 +66,10 @@
     auto& second = add(2, wire::Priority::idle);
     auto& last = add(3, wire::Priority::idle, {first.spec.id, second.spec.id}, due);
     context_.advance_clock(Instant{} + Millis(5000), 0);
-    graph_.ended(second.spec.id, wire::JobPhase::done);
+    graph_.handle_job_end(second.spec.id, wire::JobPhase::done);
     EXPECT_TRUE(last.is_blocked());
     context_.advance_clock(Instant{} + Millis(9000), 0);
-    graph_.ended(first.spec.id, wire::JobPhase::done);
+    graph_.handle_job_end(first.spec.id, wire::JobPhase::done);
     EXPECT_FALSE(last.is_blocked());
     EXPECT_EQ(last.dependencies.runnable_since, Instant{} + Millis(9000));
     EXPECT_EQ(last.dependencies.latest_end, due);
@@ -82,7 +82,7 @@
     auto& right = add(3, wire::Priority::idle, {first.spec.id});
     add(4, wire::Priority::idle, {left.spec.id, right.spec.id});
     add(5, wire::Priority::idle);
-    graph_.ended(first.spec.id, wire::JobPhase::cancelled);
+    graph_.handle_job_end(first.spec.id, wire::JobPhase::cancelled);
     std::sort(cancelled_.begin(), cancelled_.end());
     cancelled_.erase(std::unique(cancelled_.begin(), cancelled_.end()), cancelled_.end());
     EXPECT_EQ(cancelled_, (std::vector{job(2).id, job(3).id, job(4).id}));
