--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -35,7 +35,7 @@
       released_machines_(context_),
       workers_(context_, election_, state_, worker_liveness_, released_machines_, config_,
                [this](const workers::CompletedTask& task) {
-                   run_time_estimator_.learn(*task.job, task.ran_s);
+                   run_time_estimator_.record_run_time(*task.job, task.ran_s);
                }),
       provisioner_(context_, election_, state_, worker_liveness_, released_machines_,
                    machine_types_, run_time_estimator_, config_),
--- a/src/controller/peer_heartbeat_builder.cpp
+++ b/src/controller/peer_heartbeat_builder.cpp
@@ -35,8 +35,8 @@
     if (common_record_format() == config_.newest_record_format)
         heartbeat.faulty_jobs = own_faulty_jobs_;
     for (const auto& [id, job] : state_.jobs()) {
-        if (job.state == JobState::active && (job.done > 0 || job.running > 0)) {
-            heartbeat.progress.push_back({id, job.done, job.running});
+        if (job.state == JobState::active && (job.done_count > 0 || job.running_count > 0)) {
+            heartbeat.progress.push_back({id, job.done_count, job.running_count});
         }
     }
     return heartbeat;
@@ -51,7 +51,8 @@
 JobProgress PeerHeartbeatBuilder::progress(const JobId& job) {
     if (leads()) {
         const auto* known = state_.find_job(job);
-        return known ? JobProgress{job, known->done, known->running} : JobProgress{job, 0, 0};
+        return known ? JobProgress{job, known->done_count, known->running_count}
+                     : JobProgress{job, 0, 0};
     }
     const auto it = peer_monitor_.progress().find(job);
     return it == peer_monitor_.progress().end() ? JobProgress{job, 0, 0} : it->second;
--- a/src/provisioning/release_policy.cpp
+++ b/src/provisioning/release_policy.cpp
@@ -60,7 +60,7 @@
     most_machines_silent_ = silent >= kManySilent && silent * 2 > known;
     const auto& jobs = state_.jobs();
     ended_jobs_hold_tasks_ = std::any_of(jobs.begin(), jobs.end(), [](const auto& entry) {
-        return entry.second.state == JobState::terminal && entry.second.placed > 0;
+        return entry.second.state == JobState::terminal && entry.second.placed_count > 0;
     });
 }
 
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -116,7 +116,7 @@
         const auto it = demands.find(job->spec.team);
         if (it == demands.end()) continue;
         auto& [team, wanted] = it->second;
-        const double tasks = job->spec.task_count - job->done;
+        const double tasks = job->spec.task_count - job->done_count;
         wanted.cpus += tasks * job->spec.cores;
         wanted.gpus += tasks * job->spec.accelerators;
         if (wanted.cpus <= team->cpus && wanted.gpus <= team->gpus) within_guarantee.insert(job);
@@ -145,7 +145,7 @@
     // A start counts once the image is there, and users' estimates are often wrong by half.
     const double fetch_s = job.spec.image_gb / kImageFetchRate_gb_per_s;
     const double run_s = std::max(run_time_estimator_.expected_s(job), job.spec.expected_s) *
-                         state::kRunTimeUncertainty;
+                         state::kRunTimeSafetyFactor;
     const auto wait_s = std::max(0.0, within_s - fetch_s - kPreemptionDelay_s);
     const auto latest = job.dependencies.runnable_since + from_seconds(wait_s);
     if (job.dependencies.latest_end == Instant::max()) return latest;
--- a/src/scheduler/task_constraints.cpp
+++ b/src/scheduler/task_constraints.cpp
@@ -18,13 +18,13 @@
 
 // The tasks of the job must be in one zone.
 bool keeps_together(const Job& job, const Machine& machine) {
-    return job.zones.empty() || job.zones.contains(machine.zone);
+    return job.placements_by_zone.empty() || job.placements_by_zone.contains(machine.zone);
 }
 
 // At most half of the job's tasks may be in one zone.
 bool keeps_apart(const Job& job, const Machine& machine) {
     std::uint32_t placed_here = 0;
-    for (const auto& [zone, count] : job.zones) {
+    for (const auto& [zone, count] : job.placements_by_zone) {
         // Tasks whose zone is not known may be in this one.
         if (zone == machine.zone || zone.empty()) placed_here += count;
     }
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -112,7 +112,7 @@
 void ClusterState::mark_done(Job& job, std::uint32_t index) {
     if (index >= job.tasks.size() || job.tasks[index].done || job.state != JobState::active) return;
     job.tasks[index].done = true;
-    ++job.done;
+    ++job.done_count;
     // Seldom: most tasks are placed when they are done, and the list may be long.
     if (!job.tasks[index].placement) std::erase(job.pending_tasks, index);
     mark_progress_dirty(job, index, CommitUrgency::batched);
@@ -120,7 +120,7 @@
 }
 
 void ClusterState::finish_if_done(Job& job) {
-    if (job.state != JobState::active || job.done != job.spec.task_count) return;
+    if (job.state != JobState::active || job.done_count != job.spec.task_count) return;
     job.state = JobState::finishing;
     dirty_.mark(kv::terminal_key(job.spec.id), CommitUrgency::terminal);
 }
@@ -144,7 +144,7 @@
 void ClusterState::forget_terminal_jobs() {
     for (auto it = jobs_.begin(); it != jobs_.end();) {
         auto& job = it->second;
-        if (job.state != JobState::terminal || job.placed > 0 ||
+        if (job.state != JobState::terminal || job.placed_count > 0 ||
             job.dependencies.records_read < job.dependencies.record_count ||
             dirty_.find(kv::terminal_key(it->first))) {
             ++it;
@@ -202,7 +202,7 @@
     machine.spot = spot;
     if (machine.zone == zone) return;
     for (auto& [key, p] : machine.placements) {
-        auto& zones = p.job->zones;
+        auto& zones = p.job->placements_by_zone;
         if (--zones[machine.zone] == 0) zones.erase(machine.zone);
         ++zones[zone];
     }
@@ -251,8 +251,8 @@
         machine.placements.emplace(PlacementKey{job.sequence, index}, placement);
     if (!added) return;
     job.tasks[index].placement = &it->second;
-    ++job.placed;
-    ++job.zones[machine.zone];
+    ++job.placed_count;
+    ++job.placements_by_zone[machine.zone];
     machine.allocated.add(job.task_resources());
     auto& use = use_[job.spec.team];
     use.cpus += job.spec.cores;
@@ -296,8 +296,8 @@
     if (machine.placements.empty()) machine.allocated = machine.releasing = {};
     auto& task = job.tasks[index];
     task.placement = nullptr;
-    --job.placed;
-    if (--job.zones[machine.zone] == 0) job.zones.erase(machine.zone);
+    --job.placed_count;
+    if (--job.placements_by_zone[machine.zone] == 0) job.placements_by_zone.erase(machine.zone);
     auto& use = use_[job.spec.team];
     use.cpus -= job.spec.cores;
     use.gpus -= job.spec.accelerators;
@@ -320,7 +320,7 @@
     const bool was = p.running_since != Instant{};
     if (was == running) return;
     p.running_since = running ? context_.now() : Instant{};
-    running ? ++p.job->running : --p.job->running;
+    running ? ++p.job->running_count : --p.job->running_count;
 }
 
 // ---- scale-out requests ----
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -140,7 +140,7 @@
         std::erase_if(job.pending_tasks, [&tasks = job.tasks](std::uint32_t index) {
             return tasks[index].done || tasks[index].placement != nullptr;
         });
-        job.done = static_cast<std::uint32_t>(std::count_if(
+        job.done_count = static_cast<std::uint32_t>(std::count_if(
             job.tasks.begin(), job.tasks.end(), [](const Task& task) { return task.done; }));
         state_.finish_if_done(job);
         ids.push_back(id);
--- a/src/state/job.hpp
+++ b/src/state/job.hpp
@@ -111,11 +111,11 @@
     std::vector<Task> tasks;
     /// Indices of the tasks that are neither done nor placed; the last is placed first.
     std::vector<std::uint32_t> pending_tasks;
-    std::uint32_t done = 0;     ///< number of tasks that are done
-    std::uint32_t placed = 0;   ///< number of tasks that have a placement
-    std::uint32_t running = 0;  ///< number of placed tasks that a worker shows as running
+    std::uint32_t done_count = 0;     ///< number of tasks that are done
+    std::uint32_t placed_count = 0;   ///< number of tasks that have a placement
+    std::uint32_t running_count = 0;  ///< number of placed tasks that a worker shows as running
     /// Number of its placements by zone; "" where the zone is not known.
-    std::map<std::string, std::uint32_t> zones;
+    std::map<std::string, std::uint32_t> placements_by_zone;
 
     JobDependencies dependencies;
     JobFailures failures;
@@ -125,10 +125,10 @@
     std::size_t placeable_tasks() const {
         if (!failures.faulty) return pending_tasks.size();
         return std::min(pending_tasks.size(),
-                        kFaultyJobTasks - std::min<std::size_t>(placed, kFaultyJobTasks));
+                        kFaultyJobTasks - std::min<std::size_t>(placed_count, kFaultyJobTasks));
     }
     /// Whether some task of it has been given a machine.
-    bool has_started() const { return done > 0 || placed > 0; }
+    bool has_started() const { return done_count > 0 || placed_count > 0; }
     /// Whether no task of it may start yet, because of jobs that it depends on.
     bool is_blocked() const {
         return !dependencies.unmet.empty() || !dependencies.all_records_read();
--- a/src/state/run_time_estimator.cpp
+++ b/src/state/run_time_estimator.cpp
@@ -15,7 +15,7 @@
     return job.spec.expected_s * (it == class_ratio_.end() ? 1.0 : it->second);
 }
 
-void RunTimeEstimator::learn(const state::Job& job, double ran_s) {
+void RunTimeEstimator::record_run_time(const state::Job& job, double ran_s) {
     if (job.spec.expected_s <= 0) return;
     const double ratio = std::clamp(ran_s / job.spec.expected_s, kLeastRatio, kMostRatio);
     auto [it, added] = class_ratio_.try_emplace(job.spec.job_class, ratio);
--- a/src/state/run_time_estimator.hpp
+++ b/src/state/run_time_estimator.hpp
@@ -11,14 +11,14 @@
 namespace dunebridge::state {
 
 /// Users' estimates of run times are often too low by half.
-inline constexpr double kRunTimeUncertainty = 1.5;
+inline constexpr double kRunTimeSafetyFactor = 1.5;
 
 /// Expected run times: the owners' estimates, corrected by what each job class has shown.
 class RunTimeEstimator {
   public:
     double expected_s(const state::Job& job) const;
     /// A task of the job has run for so long.
-    void learn(const state::Job& job, double ran_s);
+    void record_run_time(const state::Job& job, double ran_s);
 
   private:
     std::map<std::string, double> class_ratio_;  // run time over the estimate, by job class
--- a/src/state/worker_liveness.cpp
+++ b/src/state/worker_liveness.cpp
@@ -13,14 +13,14 @@
     const auto& worker = machine.worker;
     const bool releasing = machine.worker.cordoned || machine.instance.deleting ||
                            machine.instance.failed || machine.worker.preemption_at.has_value();
-    const bool in_touch = worker.heartbeat_received && has_shown_this_term(machine) &&
+    const bool in_touch = worker.heartbeat_received && has_acknowledged_current_term(machine) &&
                           !is_late(machine) && !is_unresponsive(machine);
     // Direct commands do not renew the lease: without heartbeats it expires.
     const bool lease_lasts = context_.now() - worker.last_reply_at <= config_.worker_lease / 2;
-    return in_touch && !releasing && lease_lasts && context_.now() >= worker.refused_until;
+    return in_touch && !releasing && lease_lasts && context_.now() >= worker.refusal_backoff_until;
 }
 
-bool WorkerLiveness::has_shown_this_term(const Machine& machine) const {
+bool WorkerLiveness::has_acknowledged_current_term(const Machine& machine) const {
     return term_of(machine.worker.acknowledged_token) == election_.term();
 }
 
--- a/src/state/worker_liveness.hpp
+++ b/src/state/worker_liveness.hpp
@@ -36,7 +36,7 @@
     /// not show one, so the worker is there and replies reach it.
     bool is_schedulable(const Machine& machine) const;
     /// Returns true if the worker has shown a fencing token of this leader's term.
-    bool has_shown_this_term(const Machine& machine) const;
+    bool has_acknowledged_current_term(const Machine& machine) const;
     /// Returns true if no heartbeat has arrived for longer than `limit`.
     bool is_silent(const Machine& machine, Millis limit) const;
     /// Returns true if two heartbeats in a row have not arrived.
--- a/src/state/worker_status.hpp
+++ b/src/state/worker_status.hpp
@@ -20,9 +20,9 @@
     TaskRef task;
     Attempt attempt;
     /// Key of the record that must hold the outcome; empty if there is none.
-    std::string record;
+    std::string record_key;
     /// Version of the cluster state that holds the outcome.
-    Version outcome = 0;
+    Version outcome_version = 0;
     /// As in StartStatus::fenced_from.
     std::uint64_t fenced_from = 0;
 };
@@ -71,7 +71,7 @@
     std::vector<UnrecordedTask> unrecorded_tasks;
 
     /// Gets no new tasks before this time, as it has refused one.
-    Instant refused_until{};
+    Instant refusal_backoff_until{};
     /// Gets no new tasks, and is scaled in once it has none: too many jobs failed on it.
     bool cordoned = false;
     /// How often tasks of each job failed here since one of any job last succeeded.
--- a/src/workers/command_builder.cpp
+++ b/src/workers/command_builder.cpp
@@ -74,7 +74,7 @@
     if (!shows_token || worker.command_in_flight) return false;
     bool raise_fence = false;
     for (const auto& exited : worker.exited) {
-        if (!state_.is_committed(exited.record, exited.outcome)) continue;
+        if (!state_.is_committed(exited.record_key, exited.outcome_version)) continue;
         commands.push_back({CommandKind::clear, exited.task, exited.attempt, 0});
         raise_fence = raise_fence || exited.fenced_from > worker.fence_counter;
     }
--- a/src/workers/failure_attribution.cpp
+++ b/src/workers/failure_attribution.cpp
@@ -64,7 +64,7 @@
     std::uint32_t evidence = 0;
     for (const auto& [id, failures] : machine.worker.failures) {
         const auto* job = state_.find_job(id);
-        const bool proven = job && job->done > 0;
+        const bool proven = job && job->done_count > 0;
         evidence += proven ? kProvenJobWeight * std::min(failures, kMaxCountedFailures)
                            : kUnprovenJobWeight;
     }
@@ -80,7 +80,7 @@
         return failures.empty() || (failures.size() == 1 && failures.contains(job.spec.id));
     });
     return static_cast<std::size_t>(undoubted) >= kUndoubtedMachinesToBlameJob ||
-           (job.done == 0 && machines.size() >= kAnyMachinesToBlameJob);
+           (job.done_count == 0 && machines.size() >= kAnyMachinesToBlameJob);
 }
 
 void FailureAttribution::mark_job_faulty(Job& job) {
--- a/src/workers/task_status_processor.cpp
+++ b/src/workers/task_status_processor.cpp
@@ -82,21 +82,21 @@
     ExitedTask entry{task.task, task.attempt, {}, 0, fence_of_exited(machine, task, placement)};
     Job* job = state_.find_job(task.task.job);
     if (job) {
-        entry.record = state::progress_key(*job, task.task.index);
-        entry.outcome = state_.version();
+        entry.record_key = state::progress_key(*job, task.task.index);
+        entry.outcome_version = state_.version();
     }
     for (const auto& earlier : listed_before) {
         if (earlier.task != task.task || earlier.attempt != task.attempt) continue;
-        entry.outcome = earlier.outcome;
+        entry.outcome_version = earlier.outcome_version;
         entry.fenced_from = earlier.fenced_from;
     }
     if (placement) {
         apply_outcome(machine, *placement, task);
-        entry.outcome = state_.version();
+        entry.outcome_version = state_.version();
     } else if (job && task.reason == ExitReason::done) {
         // Completed under a record that an earlier leader no longer held; the result counts.
         state_.mark_done(*job, task.task.index);
-        entry.outcome = std::max(entry.outcome, state_.version());
+        entry.outcome_version = std::max(entry.outcome_version, state_.version());
     }
     machine.worker.exited.push_back(std::move(entry));
 }
@@ -116,7 +116,7 @@
             failure_attribution_.record_failure(job, machine);
             break;
         case ExitReason::full:
-            machine.worker.refused_until = context_.now() + kRefusalBackoff;
+            machine.worker.refusal_backoff_until = context_.now() + kRefusalBackoff;
             break;
         case ExitReason::busy:
         case ExitReason::unknown:
--- a/src/workers/worker_leases.cpp
+++ b/src/workers/worker_leases.cpp
@@ -22,15 +22,16 @@
     const bool new_epoch =
         worker.heartbeat_received && heartbeat.order.agent_epoch > worker.last_applied.agent_epoch;
     // Until the worker has shown this term, an earlier leader could renew its lease.
-    const bool first_of_term =
-        term_of(heartbeat.token) == election_.term() && !liveness_.has_shown_this_term(machine);
+    const bool first_of_term = term_of(heartbeat.token) == election_.term() &&
+                               !liveness_.has_acknowledged_current_term(machine);
     if (new_epoch || first_of_term) renew(machine);
 }
 
 void WorkerLeases::renew(Machine& machine) const { machine.worker.last_reply_at = context_.now(); }
 
 bool WorkerLeases::has_expired(const Machine& machine) const {
-    if (!machine.worker.heartbeat_received || !liveness_.has_shown_this_term(machine)) return false;
+    if (!machine.worker.heartbeat_received || !liveness_.has_acknowledged_current_term(machine))
+        return false;
     const auto lease_ms = static_cast<double>(config_.worker_lease.count()) * kClockDrift;
     const auto longest = Millis(static_cast<std::int64_t>(lease_ms)) + kLeaseMargin;
     return context_.now() - machine.worker.last_reply_at > longest;
