--- a/src/controller/cancellation_broadcast.cpp
+++ b/src/controller/cancellation_broadcast.cpp
@@ -36,8 +36,8 @@
 }
 
 void CancellationBroadcast::apply_to_cluster_state(const JobId& job) {
-    state_.mark_cancelled(job, context_.wall_ms());
-    state_.ended(job, wire::JobPhase::cancelled);
+    state_.mark_terminal(job, context_.wall_ms());
+    state_.handle_job_end(job, wire::JobPhase::cancelled);
 }
 
 // The leader among the peers; empty if there is none or this controller is the leader. A newly
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -20,16 +20,16 @@
     : context_(port),
       election_(election),
       dependencies_(port, store, jobs_,
-                    {[this] { return current(generation_); },
+                    {[this] { return is_current(generation_); },
                      [this](Job& job) { cancel_with_dependency(job); }}),
       dirty_(port) {}
 
-bool ClusterState::current(std::uint64_t generation) const {
+bool ClusterState::is_current(std::uint64_t generation) const {
     return generation == generation_ && election_.is_leader() &&
            election_.generation() == generation;
 }
 
-void ClusterState::begin() {
+void ClusterState::begin_term() {
     clear();
     generation_ = election_.generation();
     next_attempt_ = election_.term().get() << kAttemptBits;
@@ -89,7 +89,7 @@
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void ClusterState::mark_cancelled(const JobId& id, std::int64_t at_ms) {
+void ClusterState::mark_terminal(const JobId& id, std::int64_t at_ms) {
     Job* job = find_job(id);
     if (!job || job->state == JobState::terminal) return;
     // A done job's end is this leader's own write: the answer to the commit settles it.
@@ -103,7 +103,7 @@
         if (!task.placement) continue;
         auto& machine = *task.placement->machine;
         if (task.placement->commit == CommitState::uncommitted) {
-            remove(machine, {job->sequence, task.placement->index});
+            remove_placement(machine, {job->sequence, task.placement->index});
         }
         request_commands(machine);
     }
@@ -112,7 +112,7 @@
 void ClusterState::mark_done(Job& job, std::uint32_t index) {
     if (index >= job.tasks.size() || job.tasks[index].done || job.state != JobState::active) return;
     job.tasks[index].done = true;
-    ++job.done;
+    ++job.done_count;
     // Seldom: most tasks are placed when they are done, and the list may be long.
     if (!job.tasks[index].placement) std::erase(job.pending_tasks, index);
     mark_progress_dirty(job, index, CommitUrgency::batched);
@@ -120,7 +120,7 @@
 }
 
 void ClusterState::finish_if_done(Job& job) {
-    if (job.state != JobState::active || job.done != job.spec.task_count) return;
+    if (job.state != JobState::active || job.done_count != job.spec.task_count) return;
     job.state = JobState::finishing;
     dirty_.mark(kv::terminal_key(job.spec.id), CommitUrgency::terminal);
 }
@@ -144,7 +144,7 @@
 void ClusterState::forget_terminal_jobs() {
     for (auto it = jobs_.begin(); it != jobs_.end();) {
         auto& job = it->second;
-        if (job.state != JobState::terminal || job.placed > 0 ||
+        if (job.state != JobState::terminal || job.placed_count > 0 ||
             job.dependencies.records_read < job.dependencies.record_count ||
             dirty_.find(kv::terminal_key(it->first))) {
             ++it;
@@ -183,11 +183,11 @@
 Machine& ClusterState::add_machine(const MachineName& host, const std::string& machine_type,
                                    const std::string& zone, bool spot) {
     if (auto* known = find_machine(host)) {
-        describe(*known, machine_type, zone, spot);
+        set_machine_properties(*known, machine_type, zone, spot);
         return *known;
     }
     auto& machine = create_machine(host);
-    describe(machine, machine_type, zone, spot);
+    set_machine_properties(machine, machine_type, zone, spot);
     machine.scale_out_key = "x-" + host.get();
     scale_outs_[machine.scale_out_key] = {
         {machine.scale_out_key, machine_type, zone, spot, 1}, true, {host}};
@@ -195,14 +195,14 @@
     return machine;
 }
 
-void ClusterState::describe(Machine& machine, const std::string& machine_type,
-                            const std::string& zone, bool spot) {
+void ClusterState::set_machine_properties(Machine& machine, const std::string& machine_type,
+                                          const std::string& zone, bool spot) {
     if (machine.machine_type != machine_type) machine.capacity = {};
     machine.machine_type = machine_type;
     machine.spot = spot;
     if (machine.zone == zone) return;
     for (auto& [key, p] : machine.placements) {
-        auto& zones = p.job->zones;
+        auto& zones = p.job->placements_by_zone;
         if (--zones[machine.zone] == 0) zones.erase(machine.zone);
         ++zones[zone];
     }
@@ -232,8 +232,9 @@
     if (it->second.hosts.empty()) scale_outs_.erase(it);
 }
 
-void ClusterState::drop_machine(Machine& machine) {
-    while (!machine.placements.empty()) remove(machine, machine.placements.begin()->first);
+void ClusterState::remove_machine(Machine& machine) {
+    while (!machine.placements.empty())
+        remove_placement(machine, machine.placements.begin()->first);
     detach_from_scale_out(machine);
     std::erase(needing_commands_, &machine);
     const auto host = machine.host;
@@ -250,8 +251,8 @@
         machine.placements.emplace(PlacementKey{job.sequence, index}, placement);
     if (!added) return;
     job.tasks[index].placement = &it->second;
-    ++job.placed;
-    ++job.zones[machine.zone];
+    ++job.placed_count;
+    ++job.placements_by_zone[machine.zone];
     machine.allocated.add(job.task_resources());
     auto& use = use_[job.spec.team];
     use.cpus += job.spec.cores;
@@ -283,7 +284,7 @@
     attach(machine, job, index, p);
 }
 
-void ClusterState::remove(Machine& machine, PlacementKey key) {
+void ClusterState::remove_placement(Machine& machine, PlacementKey key) {
     const auto it = machine.placements.find(key);
     if (it == machine.placements.end()) return;
     set_running(it->second, false);
@@ -295,8 +296,8 @@
     if (machine.placements.empty()) machine.allocated = machine.releasing = {};
     auto& task = job.tasks[index];
     task.placement = nullptr;
-    --job.placed;
-    if (--job.zones[machine.zone] == 0) job.zones.erase(machine.zone);
+    --job.placed_count;
+    if (--job.placements_by_zone[machine.zone] == 0) job.placements_by_zone.erase(machine.zone);
     auto& use = use_[job.spec.team];
     use.cpus -= job.spec.cores;
     use.gpus -= job.spec.accelerators;
@@ -319,7 +320,7 @@
     const bool was = p.running_since != Instant{};
     if (was == running) return;
     p.running_since = running ? context_.now() : Instant{};
-    running ? ++p.job->running : --p.job->running;
+    running ? ++p.job->running_count : --p.job->running_count;
 }
 
 // ---- scale-out requests ----
@@ -335,14 +336,15 @@
     if (!rental.answered) unanswered_scale_outs_.insert(key);
     for (const auto& host : rental.hosts) {
         auto& machine = create_machine(host);
-        describe(machine, rental.request.machine_type, rental.request.zone, rental.request.spot);
+        set_machine_properties(machine, rental.request.machine_type, rental.request.zone,
+                               rental.request.spot);
         machine.scale_out_key = key;
     }
     scale_outs_.emplace(key, std::move(rental));
 }
 
-void ClusterState::scale_out_answered(const std::string& idempotency_key,
-                                      const std::vector<MachineName>& hosts) {
+void ClusterState::apply_scale_out_response(const std::string& idempotency_key,
+                                            const std::vector<MachineName>& hosts) {
     const auto it = scale_outs_.find(idempotency_key);
     if (it == scale_outs_.end()) return;
     unanswered_scale_outs_.erase(idempotency_key);
@@ -353,7 +355,8 @@
         // It may have reported before the scale-out request was answered.
         if (known) detach_from_scale_out(*known);
         auto& machine = known ? *known : create_machine(host);
-        describe(machine, rental.request.machine_type, rental.request.zone, rental.request.spot);
+        set_machine_properties(machine, rental.request.machine_type, rental.request.zone,
+                               rental.request.spot);
         machine.scale_out_key = idempotency_key;
         rental.hosts.insert(host);
     }
@@ -361,7 +364,7 @@
     if (rental.hosts.empty()) scale_outs_.erase(it);
 }
 
-bool ClusterState::scale_out_committed(const std::string& idempotency_key) const {
+bool ClusterState::is_scale_out_committed(const std::string& idempotency_key) const {
     return stored_.contains(kScaleOutPrefix + idempotency_key);
 }
 
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -38,7 +38,7 @@
       config_(config) {}
 
 void ClusterStateLoader::load() {
-    state_.begin();
+    state_.begin_term();
     started_at_ = context_.now();
     run_step(0);
 }
@@ -140,7 +140,7 @@
         std::erase_if(job.pending_tasks, [&tasks = job.tasks](std::uint32_t index) {
             return tasks[index].done || tasks[index].placement != nullptr;
         });
-        job.done = static_cast<std::uint32_t>(std::count_if(
+        job.done_count = static_cast<std::uint32_t>(std::count_if(
             job.tasks.begin(), job.tasks.end(), [](const Task& task) { return task.done; }));
         state_.finish_if_done(job);
         ids.push_back(id);
@@ -177,7 +177,7 @@
     } else if (result.outcome == kv::TransactionOutcome::conflict && !result.failed.empty()) {
         for (const auto& key : result.failed) {
             const JobId id(kv::without_prefix(key, kv::kTerminalPrefix));
-            state_.mark_cancelled(id, context_.wall_ms());
+            state_.mark_terminal(id, context_.wall_ms());
             std::erase(unchecked, id);
         }
     } else {
