--- a/src/provisioning/boot_monitor.cpp
+++ b/src/provisioning/boot_monitor.cpp
@@ -10,39 +10,39 @@
 
 namespace {
 // Of a machine whose type is not known.
-constexpr Seconds kDefaultNominal{60};
+constexpr Seconds kDefaultNominalBootTime{60};
 constexpr double kMeanWeight = 0.125;
 constexpr double kDeviationWeight = 0.25;
-constexpr double kInitialDeviation = 0.25;  // of the nominal time
-constexpr double kDeviations = 4;
+constexpr double kInitialDeviationRatio = 0.25;  // of the nominal time
+constexpr double kDeviationFactor = 4;
 // Machines commonly take up to half as long again as the cloud says, also after a run of quick
 // ones.
-constexpr double kMinLimitBoots = 1.5;  // in nominal times
+constexpr double kMinLimitFactor = 1.5;  // in nominal times
 // This share of the fleet may be overdue and replaced at the same time, and always this many
 // machines.
-constexpr double kReplacedShare = 0.2;
-constexpr std::size_t kMinReplaced = 2;
+constexpr double kMaxReplacedShare = 0.2;
+constexpr std::size_t kMinReplacementLimit = 2;
 // The first and the longest backoff of an unhealthy pool; after it, so many machines at a time may
 // be requested as probes.
 constexpr Millis kMinBackoff{30000};
 constexpr Millis kMaxBackoff{300000};
-constexpr std::size_t kProbes = 2;
+constexpr std::size_t kMaxProbes = 2;
 // Bounds of the time before a machine that has not come up is released: nominal times, and a margin
 // besides. The longer time is for pools where nothing else comes up either, so that waiting is as
 // good as requesting again, and for those that are known to be slow. A machine that never comes up
 // is paid for until then.
-constexpr double kMinTimeoutBoots = 3.5;
-constexpr double kMaxTimeoutBoots = 6;
+constexpr double kMinTimeoutFactor = 3.5;
+constexpr double kMaxTimeoutFactor = 6;
 constexpr Millis kTimeoutMargin{20000};
 
-Millis to_millis(Seconds span) { return from_seconds(span.count()); }
+Millis to_millis(Seconds duration) { return from_seconds(duration.count()); }
 }  // namespace
 
 void BootTimeEstimate::observe(Seconds boot_time, Seconds nominal) {
-    if (!learnt) {
+    if (!has_samples) {
         mean = nominal;
-        deviation = kInitialDeviation * nominal;
-        learnt = true;
+        deviation = kInitialDeviationRatio * nominal;
+        has_samples = true;
     }
     const Seconds error = boot_time - mean;
     mean += kMeanWeight * error;
@@ -50,13 +50,13 @@
 }
 
 Seconds BootTimeEstimate::limit(Seconds nominal) const {
-    const Seconds expected = learnt ? mean : nominal;
-    const Seconds expected_deviation = learnt ? deviation : kInitialDeviation * nominal;
-    return std::max(expected + kDeviations * expected_deviation, kMinLimitBoots * nominal);
+    const Seconds expected = has_samples ? mean : nominal;
+    const Seconds expected_deviation = has_samples ? deviation : kInitialDeviationRatio * nominal;
+    return std::max(expected + kDeviationFactor * expected_deviation, kMinLimitFactor * nominal);
 }
 
 void BootMonitor::reset() {
-    for (auto& [pool, health] : pool_health_) {
+    for (auto& [type_in_zone, health] : boot_health_) {
         health.unhealthy = false;
         health.backoff = Millis(0);
         health.backoff_until = Instant{};
@@ -65,15 +65,15 @@
 
 Seconds BootMonitor::nominal_boot_time(const Machine& machine) const {
     const auto* type = machine_types_.find(machine.machine_type);
-    return type ? Seconds(type->startup_s) : kDefaultNominal;
+    return type ? Seconds(type->startup_s) : kDefaultNominalBootTime;
 }
 
-BootMonitor::PoolHealth& BootMonitor::health_of(const Machine& machine) {
-    return pool_health_[{machine.machine_type, machine.zone}];
+BootMonitor::BootHealth& BootMonitor::health_of(const Machine& machine) {
+    return boot_health_[{machine.machine_type, machine.zone}];
 }
 
 void BootMonitor::update() {
-    for (auto& [pool, health] : pool_health_) health.booting = 0;
+    for (auto& [type_in_zone, health] : boot_health_) health.booting = 0;
     std::size_t fleet_size = 0;
     for (auto& [host, machine] : state_.machines()) {
         if (machine.instance.deleting) continue;
@@ -88,12 +88,12 @@
 }
 
 void BootMonitor::allow_replacements(std::size_t fleet_size) {
-    const double share = kReplacedShare * static_cast<double>(fleet_size);
-    auto allowed = std::max(kMinReplaced, static_cast<std::size_t>(share));
+    const double share = kMaxReplacedShare * static_cast<double>(fleet_size);
+    auto remaining = std::max(kMinReplacementLimit, static_cast<std::size_t>(share));
     for (auto& [host, machine] : state_.machines()) {
         auto& instance = machine.instance;
-        instance.replacement_allowed = instance.overdue && !instance.deleting && allowed > 0;
-        if (instance.replacement_allowed) --allowed;
+        instance.replacement_allowed = instance.overdue && !instance.deleting && remaining > 0;
+        if (instance.replacement_allowed) --remaining;
     }
 }
 
@@ -108,7 +108,7 @@
     }
     instance.boot_tracked = false;
     instance.overdue = false;
-    health.last_boot = context_.now();
+    health.last_boot_at = context_.now();
     if (health.unhealthy) {
         context_.log(LogLevel::info, "event=instance_pool_recovered type={} zone={}",
                      machine.machine_type, machine.zone);
@@ -137,7 +137,7 @@
                  machine.host.get(), machine.machine_type, machine.zone,
                  to_seconds(context_.now() - machine.instance.provisioned_at));
     auto& health = health_of(machine);
-    if (health.last_boot >= machine.instance.provisioned_at) return;
+    if (health.last_boot_at >= machine.instance.provisioned_at) return;
     health.unhealthy = true;
     if (context_.now() < health.backoff_until) return;
     health.backoff = std::clamp(health.backoff * 2, kMinBackoff, kMaxBackoff);
@@ -150,23 +150,24 @@
 
 Millis BootMonitor::boot_timeout(const Machine& machine) const {
     const Seconds nominal = nominal_boot_time(machine);
-    const auto longest = to_millis(kMaxTimeoutBoots * nominal) + kTimeoutMargin;
-    const auto health = pool_health_.find({machine.machine_type, machine.zone});
-    if (health == pool_health_.end()) return longest;
-    const bool others_came_up = health->second.last_boot >= machine.instance.provisioned_at;
-    if (!others_came_up) return longest;
-    const auto shortest = to_millis(kMinTimeoutBoots * nominal) + kTimeoutMargin;
-    return std::clamp(to_millis(health->second.boot_time.limit(nominal)), shortest, longest);
+    const auto max_timeout = to_millis(kMaxTimeoutFactor * nominal) + kTimeoutMargin;
+    const auto health = boot_health_.find({machine.machine_type, machine.zone});
+    if (health == boot_health_.end()) return max_timeout;
+    const bool another_booted_since =
+        health->second.last_boot_at >= machine.instance.provisioned_at;
+    if (!another_booted_since) return max_timeout;
+    const auto min_timeout = to_millis(kMinTimeoutFactor * nominal) + kTimeoutMargin;
+    return std::clamp(to_millis(health->second.boot_time.limit(nominal)), min_timeout, max_timeout);
 }
 
 std::map<InstancePool, std::size_t> BootMonitor::unhealthy_pool_limits() const {
     std::map<InstancePool, std::size_t> limits;
-    for (const auto& [pool, health] : pool_health_) {
+    for (const auto& [type_in_zone, health] : boot_health_) {
         if (!health.unhealthy) continue;
         const bool in_backoff = context_.now() < health.backoff_until;
-        const auto limit = in_backoff ? 0 : kProbes - std::min(kProbes, health.booting);
+        const auto limit = in_backoff ? 0 : kMaxProbes - std::min(kMaxProbes, health.booting);
         for (const bool spot : {false, true}) {
-            limits[{pool.machine_type, pool.zone, spot}] = limit;
+            limits[{type_in_zone.machine_type, type_in_zone.zone, spot}] = limit;
         }
     }
     return limits;
--- a/src/provisioning/boot_monitor.hpp
+++ b/src/provisioning/boot_monitor.hpp
@@ -1,10 +1,10 @@
 /// \file
 /// Follows the machines that have been requested and have not come up yet.
 ///
-/// How long a boot may take is learnt for each machine type and zone from the machines that came
-/// up; the cloud's own figure is only the first estimate. A machine that takes longer is overdue.
-/// An overdue machine no longer counts as capacity, so that the fleet is scaled out by another in
-/// its place. Two bounds guard against request storms:
+/// How long a boot may take is learnt for each machine type and zone from the machines that
+/// came up; the cloud's own figure is only the first estimate. A machine that takes longer is
+/// overdue. An overdue machine no longer counts as capacity, so that the fleet is scaled out by
+/// another in its place. Two bounds guard against request storms:
 ///  - only a share of the fleet may be replaced at a time, for clouds that are slow everywhere;
 ///  - a type and zone from which nothing has come since its machines became overdue is unhealthy.
 ///    Nothing is requested from it for a backoff time that doubles up to a limit; after that, a few
@@ -26,7 +26,7 @@
 struct BootTimeEstimate {
     Seconds mean{0};
     Seconds deviation{0};
-    bool learnt = false;  ///< false: nothing observed, the nominal time stands for the mean
+    bool has_samples = false;  ///< false: nothing observed, the nominal time stands for the mean
 
     /// A machine came up after this boot time, where the cloud states the nominal one.
     void observe(Seconds boot_time, Seconds nominal);
@@ -43,8 +43,8 @@
                 const state::MachineTypeCatalog& machine_types)
         : context_(context), state_(cluster_state), machine_types_(machine_types) {}
 
-    /// Another term begins: learnt boot times are kept, pools count as healthy until machines are
-    /// judged anew.
+    /// Another term begins: learnt boot times are kept, pools count as healthy until machines
+    /// are judged anew.
     void reset();
     /// Judges all machines. To be called before the results below are used.
     void update();
@@ -63,9 +63,9 @@
         std::string zone;
         auto operator<=>(const TypeInZone&) const = default;
     };
-    struct PoolHealth {
+    struct BootHealth {
         BootTimeEstimate boot_time;
-        Instant last_boot{};     // when a machine last came up
+        Instant last_boot_at{};  // when a machine last came up
         bool unhealthy = false;  // nothing has come up since overdue machines were requested
         Instant backoff_until{};
         Millis backoff{0};
@@ -77,12 +77,12 @@
     void record_overdue(const state::Machine& machine);
     void allow_replacements(std::size_t fleet_size);
     Seconds nominal_boot_time(const state::Machine& machine) const;
-    PoolHealth& health_of(const state::Machine& machine);
+    BootHealth& health_of(const state::Machine& machine);
 
     sansio::Context& context_;
     state::ClusterState& state_;
     const state::MachineTypeCatalog& machine_types_;
-    std::map<TypeInZone, PoolHealth> pool_health_;
+    std::map<TypeInZone, BootHealth> boot_health_;
 };
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/cloud_client.cpp
+++ b/src/provisioning/cloud_client.cpp
@@ -10,7 +10,7 @@
 using sansio::LogLevel;
 
 namespace {
-constexpr Millis kTimeout{5000};
+constexpr Millis kRequestTimeout{5000};
 // The rest of the cloud's rate is left to the other controllers, which fetch the machine types.
 constexpr double kLeaderShare = 0.8;
 constexpr const char* kNoCapacity = "no capacity";
@@ -18,30 +18,30 @@
 // The decoded body of a successful response; none if there is no such response or its body is
 // invalid. Invalid bodies are logged under the event's name.
 template <class Decode>
-auto decode_response(sansio::Context& context, const HttpResult& response, const char* bad_event,
+auto decode_response(sansio::Context& context, const HttpResult& response, const char* error_event,
                      Decode decode) -> std::optional<std::invoke_result_t<Decode, wire::Value>> {
     if (!response.ok()) return std::nullopt;
     try {
         const auto doc = wire::Document::need(response.body);
         return decode(doc.root());
     } catch (const wire::DecodeError& e) {
-        context.log(LogLevel::error, "event={} error=\"{}\"", bad_event, e.what());
+        context.log(LogLevel::error, "event={} error=\"{}\"", error_event, e.what());
         return std::nullopt;
     }
 }
 }  // namespace
 
 CloudClient::CloudClient(sansio::Context& context, double requests_per_second)
-    : context_(context), budget_(kLeaderShare * requests_per_second) {}
+    : context_(context), request_limiter_(kLeaderShare * requests_per_second) {}
 
-bool CloudClient::take_request() {
-    if (budget_.take(1, context_.now())) return true;
-    context_.request_wake(budget_.ready_at(1, context_.now()));
+bool CloudClient::try_acquire_request() {
+    if (request_limiter_.take(1, context_.now())) return true;
+    context_.request_wake(request_limiter_.ready_at(1, context_.now()));
     return false;
 }
 
-void CloudClient::machine_types(OnMachineTypes on_response) {
-    context_.call(Destination::cloud, {}, "GET", "/machine_types", {}, kTimeout,
+void CloudClient::list_machine_types(OnMachineTypes on_response) {
+    context_.call(Destination::cloud, {}, "GET", "/machine_types", {}, kRequestTimeout,
                   [this, on_response = std::move(on_response)](const HttpResult& response) {
                       on_response(decode_response(context_, response, "invalid_machine_types",
                                                   wire::decode_machine_types));
@@ -51,7 +51,7 @@
 void CloudClient::list_machines(const std::string& after, OnMachineList on_response) {
     auto target = std::string("/rentals?page=500");
     if (!after.empty()) target += "&from=" + after;
-    context_.call(Destination::cloud, {}, "GET", std::move(target), {}, kTimeout,
+    context_.call(Destination::cloud, {}, "GET", std::move(target), {}, kRequestTimeout,
                   [this, on_response = std::move(on_response)](const HttpResult& response) {
                       on_response(decode_response(context_, response, "invalid_machine_list",
                                                   wire::decode_machine_list));
@@ -59,13 +59,14 @@
 }
 
 void CloudClient::provision(const wire::ScaleOutRequest& request, OnScaleOut on_response) {
-    context_.call(Destination::cloud, {}, "POST", "/rentals", wire::encode(request), kTimeout,
+    context_.call(Destination::cloud, {}, "POST", "/rentals", wire::encode(request),
+                  kRequestTimeout,
                   [this, on_response = std::move(on_response)](const HttpResult& response) {
-                      on_response(read_scale_out(response));
+                      on_response(decode_scale_out_result(response));
                   });
 }
 
-ScaleOutResult CloudClient::read_scale_out(const HttpResult& response) {
+ScaleOutResult CloudClient::decode_scale_out_result(const HttpResult& response) {
     using Outcome = ScaleOutResult::Outcome;
     if (response.ok()) {
         auto hosts =
@@ -82,7 +83,8 @@
 
 void CloudClient::delete_machines(const std::vector<MachineName>& hosts, OnDeletion on_response) {
     context_.call(Destination::cloud, {}, "POST", "/rentals/delete", wire::encode_hosts(hosts),
-                  kTimeout, [on_response = std::move(on_response)](const HttpResult& response) {
+                  kRequestTimeout,
+                  [on_response = std::move(on_response)](const HttpResult& response) {
                       on_response(response.ok());
                   });
 }
--- a/src/provisioning/cloud_client.hpp
+++ b/src/provisioning/cloud_client.hpp
@@ -43,12 +43,12 @@
     CloudClient(sansio::Context& context, double requests_per_second);
 
     /// Takes one request from the rate limit. If there is none left, returns false and asks the
-    /// event loop to wake when there is. To be called before each request but machine_types(), for
-    /// which the limit leaves room.
-    bool take_request();
+    /// event loop to wake when there is. To be called before each request but list_machine_types(),
+    /// for which the limit leaves room.
+    bool try_acquire_request();
 
     /// Reads the machine types and their prices.
-    void machine_types(OnMachineTypes on_response);
+    void list_machine_types(OnMachineTypes on_response);
     /// Reads one page of the list of machines: those after the named one, or the first for an empty
     /// name.
     void list_machines(const std::string& after, OnMachineList on_response);
@@ -58,10 +58,10 @@
     void delete_machines(const std::vector<MachineName>& hosts, OnDeletion on_response);
 
   private:
-    ScaleOutResult read_scale_out(const sansio::HttpResult& response);
+    ScaleOutResult decode_scale_out_result(const sansio::HttpResult& response);
 
     sansio::Context& context_;
-    TokenBucket budget_;
+    TokenBucket request_limiter_;
 };
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/demand_collector.cpp
+++ b/src/provisioning/demand_collector.cpp
@@ -15,7 +15,7 @@
 constexpr double kUnlimitedCores = 1e12;  // the quota of a team that has none
 }  // namespace
 
-bool is_leaving(const Machine& machine, const BootMonitor& boot_monitor) {
+bool is_excluded_from_capacity(const Machine& machine, const BootMonitor& boot_monitor) {
     return machine.instance.deleting || machine.worker.cordoned ||
            machine.worker.preemption_at.has_value() || boot_monitor.replacement_allowed(machine);
 }
@@ -25,7 +25,7 @@
     return std::any_of(machines.begin(), machines.end(), [&](const auto& entry) {
         const Machine& machine = entry.second;
         const auto* type = machine_types_.find(machine.machine_type);
-        if (!type || is_leaving(machine, boot_monitor_)) return false;
+        if (!type || is_excluded_from_capacity(machine, boot_monitor_)) return false;
         if (machine.spot && !demand.spot_allowed) return false;
         if (!demand.zone.empty() && machine.zone != demand.zone) return false;
         return wire::can_hold(*type, demand.task_resources, demand.machine_types);
@@ -45,24 +45,24 @@
 
 std::vector<Demand> DemandCollector::collect() const {
     std::vector<Demand> collected;
-    std::map<std::string, double> cores_under_quota;  // by team
+    std::map<std::string, double> remaining_quota_cores;  // by team
     for (const auto& team : config_.teams) {
-        const bool limited = team.cpus_max > 0;
-        cores_under_quota[team.name] =
-            limited ? team.cpus_max - state_.use(team.name).cpus : kUnlimitedCores;
+        const bool has_quota = team.cpus_max > 0;
+        remaining_quota_cores[team.name] =
+            has_quota ? team.cpus_max - state_.use(team.name).cpus : kUnlimitedCores;
     }
     for (const auto& [id, job] : state_.jobs()) {
         if (job.state != JobState::active || job.pending_tasks.empty() || job.is_blocked())
             continue;
         auto demand = demand_of(job);
         const double cores = demand.task_resources.cores;
-        auto& cores_left = cores_under_quota[job.spec.team];
-        if (cores > 0) demand.tasks = std::min(demand.tasks, std::floor(cores_left / cores));
+        auto& remaining_cores = remaining_quota_cores[job.spec.team];
+        if (cores > 0) demand.tasks = std::min(demand.tasks, std::floor(remaining_cores / cores));
         if (demand.tasks <= 0) continue;
         demand.fits_existing_machine = fits_existing_machine(demand);
         // For a job that fails everywhere no machine is requested that others do not need.
         if (job.failures.faulty && demand.fits_existing_machine) continue;
-        cores_left -= demand.tasks * cores;
+        remaining_cores -= demand.tasks * cores;
         collected.push_back(std::move(demand));
     }
     return collected;
--- a/src/provisioning/demand_collector.hpp
+++ b/src/provisioning/demand_collector.hpp
@@ -15,7 +15,7 @@
 
 /// Whether the machine is about to leave the fleet, or is overdue and to be replaced: it then does
 /// not count as capacity.
-bool is_leaving(const state::Machine& machine, const BootMonitor& boot_monitor);
+bool is_excluded_from_capacity(const state::Machine& machine, const BootMonitor& boot_monitor);
 
 /// Collects the demand of all jobs that may start. The references must outlive it.
 class DemandCollector {
--- a/src/provisioning/load_average.cpp
+++ b/src/provisioning/load_average.cpp
@@ -15,8 +15,8 @@
     const bool first = last_observation_ == Instant{};
     const double elapsed_s = first ? 0 : to_seconds(now - last_observation_);
     last_observation_ = now;
-    const double kept_share = elapsed_s > 0 ? std::exp(-elapsed_s / kTimeConstant_s) : 0.0;
-    cores_ = cores_ * kept_share + cores * (1 - kept_share);
+    const double decay = elapsed_s > 0 ? std::exp(-elapsed_s / kTimeConstant_s) : 0.0;
+    cores_ = cores_ * decay + cores * (1 - decay);
 }
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/machine_deleter.cpp
+++ b/src/provisioning/machine_deleter.cpp
@@ -19,17 +19,17 @@
 
 void MachineDeleter::send() {
     if (in_flight_ || context_.now() < retry_at_) return;
-    if (queue_.empty() || !cloud_.take_request()) return;
+    if (queue_.empty() || !cloud_.try_acquire_request()) return;
     const auto count = std::min(queue_.size(), kMaxHostsPerRequest);
     const auto last = std::next(queue_.begin(), static_cast<std::ptrdiff_t>(count));
     const std::vector<MachineName> hosts(queue_.begin(), last);
     in_flight_ = true;
     cloud_.delete_machines(hosts, [this, hosts, generation = state_.generation()](bool confirmed) {
-        if (state_.usable_in(generation)) finish(hosts, confirmed);
+        if (state_.usable_in(generation)) handle_response(hosts, confirmed);
     });
 }
 
-void MachineDeleter::finish(const std::vector<MachineName>& hosts, bool confirmed) {
+void MachineDeleter::handle_response(const std::vector<MachineName>& hosts, bool confirmed) {
     in_flight_ = false;
     if (!confirmed) {
         retry_at_ = context_.now() + kRetryDelay;
--- a/src/provisioning/machine_deleter.hpp
+++ b/src/provisioning/machine_deleter.hpp
@@ -30,13 +30,13 @@
     /// Another term begins: what was queued in the last one is forgotten.
     void reset();
     /// Queues a machine for deletion.
-    void add(const MachineName& host) { queue_.insert(host); }
+    void enqueue(const MachineName& host) { queue_.insert(host); }
     /// Sends the next request if there is something to send and the cloud's rate permits. To be
     /// called in every pass of the event loop on the leader.
     void send();
 
   private:
-    void finish(const std::vector<MachineName>& hosts, bool confirmed);
+    void handle_response(const std::vector<MachineName>& hosts, bool confirmed);
 
     sansio::Context& context_;
     CloudClient& cloud_;
--- a/src/provisioning/machine_inventory.cpp
+++ b/src/provisioning/machine_inventory.cpp
@@ -12,7 +12,7 @@
 constexpr Millis kReadInterval{4000};
 // Of the cloud's rate: a long list leaves most of it to scale-out and deletions.
 constexpr double kRateShare = 0.25;
-constexpr Millis kPagePause{200};
+constexpr Millis kPageRetryDelay{200};
 }  // namespace
 
 MachineInventory::MachineInventory(sansio::Context& context, CloudClient& cloud,
@@ -32,31 +32,33 @@
 }
 
 void MachineInventory::tick() {
-    if (!reading_ && context_.now() >= next_read_ && cloud_.take_request()) start();
+    if (!reading_ && context_.now() >= next_read_ && cloud_.try_acquire_request()) start_read();
     context_.request_wake(next_read_);
 }
 
-void MachineInventory::start() {
+void MachineInventory::start_read() {
     reading_ = true;
-    seen_.clear();
-    pages_read_ = 0;
+    listed_hosts_.clear();
+    pages_requested_ = 0;
     read_page({}, state_.generation());
 }
 
 void MachineInventory::read_page(const std::string& after, std::uint64_t generation) {
     if (!state_.usable_in(generation)) return;
     // Each page is a request; the first has been taken from the budget.
-    if (pages_read_ > 0 && !cloud_.take_request()) {
-        context_.after(kPagePause, [this, after, generation] { read_page(after, generation); });
+    if (pages_requested_ > 0 && !cloud_.try_acquire_request()) {
+        context_.after(kPageRetryDelay,
+                       [this, after, generation] { read_page(after, generation); });
         return;
     }
-    ++pages_read_;
+    ++pages_requested_;
     cloud_.list_machines(
         after, [this, generation](const std::optional<wire::MachineListPage>& page) {
             if (!state_.usable_in(generation)) return;
             reading_ = false;
-            const auto share_of_rate = from_seconds(pages_read_ / (kRateShare * config_.cloud_rps));
-            next_read_ = context_.now() + std::max(kReadInterval, share_of_rate);
+            const auto rate_limited_interval =
+                from_seconds(pages_requested_ / (kRateShare * config_.cloud_rps));
+            next_read_ = context_.now() + std::max(kReadInterval, rate_limited_interval);
             if (page) apply_page(*page, generation);
         });
 }
@@ -68,11 +70,11 @@
         read_page(page.hosts.back().host.get(), generation);
         return;
     }
-    count_missing();
+    count_missed_listings();
 }
 
 void MachineInventory::apply_row(const wire::MachineListing& row) {
-    seen_.insert(row.host);
+    listed_hosts_.insert(row.host);
     if (released_machines_.contains(row.host)) return;  // the list is late
     auto* machine = state_.find_machine(row.host);
     if (!machine) {
@@ -99,9 +101,9 @@
     on_machine_failed_(*machine);
 }
 
-void MachineInventory::count_missing() {
+void MachineInventory::count_missed_listings() {
     for (auto& [host, machine] : state_.machines()) {
-        if (!seen_.contains(host)) ++machine.instance.missed_listings;
+        if (!listed_hosts_.contains(host)) ++machine.instance.missed_listings;
     }
 }
 
--- a/src/provisioning/machine_inventory.hpp
+++ b/src/provisioning/machine_inventory.hpp
@@ -38,11 +38,11 @@
     void reset();
 
   private:
-    void start();
+    void start_read();
     void read_page(const std::string& after, std::uint64_t generation);
     void apply_page(const wire::MachineListPage& page, std::uint64_t generation);
     void apply_row(const wire::MachineListing& row);
-    void count_missing();
+    void count_missed_listings();
 
     sansio::Context& context_;
     CloudClient& cloud_;
@@ -52,8 +52,8 @@
     OnMachineFailed on_machine_failed_;
     bool reading_ = false;
     Instant next_read_{};
-    std::set<MachineName> seen_;
-    int pages_read_ = 0;
+    std::set<MachineName> listed_hosts_;
+    int pages_requested_ = 0;
 };
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/machine_type_fetcher.cpp
+++ b/src/provisioning/machine_type_fetcher.cpp
@@ -10,7 +10,7 @@
 constexpr Millis kFetchInterval{60000};
 constexpr Millis kRetryDelay{1000};
 // While a request is in flight the event loop need not wake for the next one.
-constexpr Millis kResponseWait{5000};
+constexpr Millis kInFlightWakeDelay{5000};
 }  // namespace
 
 void MachineTypeFetcher::tick(bool is_leader) {
@@ -21,8 +21,8 @@
 
 void MachineTypeFetcher::fetch() {
     in_flight_ = true;
-    next_fetch_ = context_.now() + kResponseWait;
-    cloud_.machine_types([this](std::optional<std::vector<wire::MachineType>> types) {
+    next_fetch_ = context_.now() + kInFlightWakeDelay;
+    cloud_.list_machine_types([this](std::optional<std::vector<wire::MachineType>> types) {
         in_flight_ = false;
         next_fetch_ = context_.now() + kRetryDelay + context_.jitter(kRetryDelay);
         if (!types) return;
--- a/src/provisioning/planned_fleet.cpp
+++ b/src/provisioning/planned_fleet.cpp
@@ -8,14 +8,14 @@
     std::map<std::string, double> cores_by_type;
     for (const auto& type : input.machine_types) cores_by_type[type.name] = type.cores;
     for (const auto& machine : input.machines) {
-        if (machine.available) count(machine.pool, machine.cores, 1);
+        if (machine.available) count_machines(machine.pool, machine.cores, 1);
     }
-    for (const auto& [pool, machines] : input.pending) {
-        count(pool, cores_by_type[pool.machine_type], machines);
+    for (const auto& [pool, machines] : input.outstanding_machines) {
+        count_machines(pool, cores_by_type[pool.machine_type], machines);
     }
 }
 
-void PlannedFleet::count(const InstancePool& pool, double cores, std::size_t machines) {
+void PlannedFleet::count_machines(const InstancePool& pool, double cores, std::size_t machines) {
     cores_ += cores * static_cast<double>(machines);
     machines_by_zone_[pool.zone] += machines;
 }
@@ -37,7 +37,7 @@
 }
 
 void PlannedFleet::add(const InstancePool& pool, double cores) {
-    count(pool, cores, 1);
+    count_machines(pool, cores, 1);
     ++requested_;
     const auto step = std::find_if(scale_out_.begin(), scale_out_.end(),
                                    [&](const ScaleOutStep& other) { return other.pool == pool; });
--- a/src/provisioning/planned_fleet.hpp
+++ b/src/provisioning/planned_fleet.hpp
@@ -33,7 +33,7 @@
     void remove(double cores) { cores_ -= cores; }
 
   private:
-    void count(const InstancePool& pool, double cores, std::size_t machines);
+    void count_machines(const InstancePool& pool, double cores, std::size_t machines);
 
     double cores_ = 0;
     std::map<std::string, std::size_t> machines_by_zone_;
--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kResizeInterval{1000};
 // A new leader releases no idle machines before it has observed the load for so long.
 constexpr Millis kObservationTime{20000};
-constexpr Millis kWarningInterval{60000};
+constexpr Millis kSocketWarningInterval{60000};
 }  // namespace
 
 Provisioner::Provisioner(sansio::Context& context, coordination::Election& election,
@@ -31,8 +31,8 @@
       cloud_(context, config.cloud_rps),
       machine_type_fetcher_(context, cloud_, machine_types),
       boot_monitor_(context, cluster_state, machine_types),
-      demand_(cluster_state, boot_monitor_, machine_types, run_time_estimator, config),
-      load_(context, cluster_state),
+      demand_collector_(cluster_state, boot_monitor_, machine_types, run_time_estimator, config),
+      load_average_(context, cluster_state),
       scale_in_(context, cloud_, cluster_state, liveness, released_machines, machine_types,
                 boot_monitor_, config),
       inventory_(context, cloud_, cluster_state, released_machines, config,
@@ -44,7 +44,7 @@
     boot_monitor_.reset();
     scale_in_.reset();
     scale_out_.reset();
-    load_.reset();
+    load_average_.reset();
     next_resize_ = Instant{};
     no_idle_release_before_ = context_.now() + kObservationTime;
 }
@@ -63,16 +63,16 @@
 
 void Provisioner::resize_fleet() {
     if (machine_types_.empty()) return;
-    load_.observe();
+    load_average_.observe();
     boot_monitor_.update();
     const auto input = scaling_input();
     const auto plan = plan_scaling(input);
     log_plan(input, plan);
-    warn_if_too_large(input);
-    carry_out(plan);
+    warn_if_too_few_sockets(input);
+    execute(plan);
 }
 
-void Provisioner::carry_out(const ScalingPlan& plan) {
+void Provisioner::execute(const ScalingPlan& plan) {
     for (const auto& step : plan.scale_out) scale_out_.request(step.pool, step.count);
     if (context_.now() < no_idle_release_before_) return;
     std::vector<Machine*> machines;
@@ -93,15 +93,15 @@
     capacity.pool = {machine.machine_type, machine.zone, machine.spot};
     capacity.cores = type ? type->cores : 0;
     capacity.idle_for = idle ? context_.now() - machine.idle_since : Millis(0);
-    capacity.available = type && !is_leaving(machine, boot_monitor_) && !lost;
+    capacity.available = type && !is_excluded_from_capacity(machine, boot_monitor_) && !lost;
     return capacity;
 }
 
 ScalingInput Provisioner::scaling_input() {
     ScalingInput input;
     input.machine_types = machine_types_.all();
-    input.demand = demand_.collect();
-    input.average_used_cores = load_.cores();
+    input.demand = demand_collector_.collect();
+    input.average_used_cores = load_average_.cores();
     input.headroom = config_.tuning.headroom;
     input.shortest_boot = Seconds::max();
     for (const auto& type : input.machine_types) {
@@ -112,7 +112,7 @@
         input.machines.push_back(capacity_of(machine));
         input.placed_cores += machine.allocated.cores;
     }
-    input.pending = scale_out_.pending();
+    input.outstanding_machines = scale_out_.outstanding_machines();
     input.in_backoff = scale_out_.in_backoff();
     input.unhealthy_pool_limits = boot_monitor_.unhealthy_pool_limits();
     return input;
@@ -120,10 +120,10 @@
 
 // With more machines than sockets, workers share connections and each opens one anew for its
 // heartbeats: that is slower and costs processor time.
-void Provisioner::warn_if_too_large(const ScalingInput& input) {
+void Provisioner::warn_if_too_few_sockets(const ScalingInput& input) {
     const auto sockets = config::SocketBudget(config_.fd_limit).front;
-    if (input.machines.size() <= sockets || context_.now() < next_warning_) return;
-    next_warning_ = context_.now() + kWarningInterval;
+    if (input.machines.size() <= sockets || context_.now() < next_socket_warning_) return;
+    next_socket_warning_ = context_.now() + kSocketWarningInterval;
     context_.log(LogLevel::error, "event=too_few_sockets machines={} places={} fd_limit={}",
                  input.machines.size(), sockets, config_.fd_limit);
 }
@@ -138,8 +138,8 @@
     context_.log(
         LogLevel::debug,
         "event=scaling_plan load={:.1f} placed={:.1f} target={:.1f} up={} machines={} waiting={}",
-        load_.cores(), input.placed_cores, plan.target_cores, up_cores, input.machines.size(),
-        input.demand.size());
+        load_average_.cores(), input.placed_cores, plan.target_cores, up_cores,
+        input.machines.size(), input.demand.size());
 }
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/provisioner.hpp
+++ b/src/provisioning/provisioner.hpp
@@ -45,9 +45,9 @@
     void resize_fleet();
     ScalingInput scaling_input();
     MachineCapacity capacity_of(const state::Machine& machine) const;
-    void warn_if_too_large(const ScalingInput& input);
+    void warn_if_too_few_sockets(const ScalingInput& input);
     void log_plan(const ScalingInput& input, const ScalingPlan& plan) const;
-    void carry_out(const ScalingPlan& plan);
+    void execute(const ScalingPlan& plan);
 
     sansio::Context& context_;
     coordination::Election& election_;
@@ -58,14 +58,14 @@
     CloudClient cloud_;
     MachineTypeFetcher machine_type_fetcher_;
     BootMonitor boot_monitor_;
-    DemandCollector demand_;
-    LoadAverage load_;
+    DemandCollector demand_collector_;
+    LoadAverage load_average_;
     ScaleIn scale_in_;
     MachineInventory inventory_;
     ScaleOut scale_out_;
     Instant next_resize_{};
     Instant no_idle_release_before_{};
-    Instant next_warning_{};
+    Instant next_socket_warning_{};
 };
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/release_policy.cpp
+++ b/src/provisioning/release_policy.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 // So many heartbeats of a machine with tasks may be missed before the machine is released.
-constexpr int kMissedHeartbeats = 7;
+constexpr int kMinMissedHeartbeats = 7;
 constexpr Millis kSilenceMargin{3000};
 // How long a machine without tasks may stay without a heartbeat to this term's leader.
-constexpr Millis kNoHeartbeatLimit{15000};
+constexpr Millis kFirstHeartbeatTimeout{15000};
 // If so many machines, and more than half of the fleet, are silent at once, the cause is more
 // likely this controller's own network.
-constexpr std::size_t kManySilent = 3;
+constexpr std::size_t kMinSilentMachines = 3;
 // The cloud's list lags: a machine counts as missing from it only after so many lists.
-constexpr std::uint32_t kMissedListings = 2;
+constexpr std::uint32_t kMinMissedListings = 2;
 }  // namespace
 
 const char* to_string(ScaleInReason reason) {
@@ -48,16 +48,16 @@
 }
 
 void ReleasePolicy::observe_fleet() {
-    std::size_t known = 0;
+    std::size_t machine_count = 0;
     std::size_t silent = 0;
     for (const auto& [host, machine] : state_.machines()) {
-        const bool unheard_and_empty =
+        const bool unseen_and_empty =
             !machine.worker.heartbeat_received && machine.placements.empty();
-        if (machine.instance.deleting || unheard_and_empty) continue;
-        ++known;
+        if (machine.instance.deleting || unseen_and_empty) continue;
+        ++machine_count;
         if (liveness_.is_late(machine)) ++silent;
     }
-    most_machines_silent_ = silent >= kManySilent && silent * 2 > known;
+    most_machines_silent_ = silent >= kMinSilentMachines && silent * 2 > machine_count;
     const auto& jobs = state_.jobs();
     ended_jobs_hold_tasks_ = std::any_of(jobs.begin(), jobs.end(), [](const auto& entry) {
         return entry.second.state == JobState::terminal && entry.second.placed > 0;
@@ -75,14 +75,14 @@
 Millis ReleasePolicy::silence_limit() const {
     return std::min(
         config_.worker_lease + kSilenceMargin,
-        std::max(config_.heartbeat_interval * kMissedHeartbeats, config_.worker_lease * 6 / 10));
+        std::max(config_.heartbeat_interval * kMinMissedHeartbeats, config_.worker_lease * 6 / 10));
 }
 
 std::optional<ScaleInReason> ReleasePolicy::reason_without_heartbeat(const Machine& machine) const {
     if (machine.placements.empty()) return reason_without_heartbeat_or_tasks(machine);
     // A new leader has received heartbeats only since its own term began.
     const auto known_for = context_.now() - machine.worker.first_known_at;
-    const bool missing = machine.instance.missed_listings >= kMissedListings;
+    const bool missing = machine.instance.missed_listings >= kMinMissedListings;
     if (missing && known_for > silence_limit()) return ScaleInReason::missing_from_list;
     const auto limit = most_machines_silent_ ? config_.worker_lease * 2 : silence_limit();
     if (known_for <= limit) return std::nullopt;
@@ -92,11 +92,11 @@
 std::optional<ScaleInReason> ReleasePolicy::reason_without_heartbeat_or_tasks(
     const Machine& machine) const {
     const auto known_for = context_.now() - machine.worker.first_known_at;
-    const bool missing = machine.instance.missed_listings >= kMissedListings;
+    const bool missing = machine.instance.missed_listings >= kMinMissedListings;
     // An earlier leader may have deleted it without seeing the confirmation: the list is late.
     const auto list_limit = config_.machine_list_lag * 3 + kSilenceMargin;
     if (missing && known_for > list_limit) return ScaleInReason::missing_from_list;
-    if (known_for <= kNoHeartbeatLimit) return std::nullopt;
+    if (known_for <= kFirstHeartbeatTimeout) return std::nullopt;
     if (!machine.instance.starting) return ScaleInReason::no_heartbeat_this_term;
     const auto booting_for = context_.now() - machine.instance.provisioned_at;
     if (booting_for <= boot_monitor_.boot_timeout(machine)) return std::nullopt;
@@ -109,7 +109,7 @@
         machine.worker.preemption_at && context_.now() > *machine.worker.preemption_at;
     if (preempted && missed_two) return ScaleInReason::preempted;
     const auto& instance = machine.instance;
-    const bool missing = instance.listed && instance.missed_listings >= kMissedListings;
+    const bool missing = instance.listed && instance.missed_listings >= kMinMissedListings;
     if (missing && missed_two) return ScaleInReason::missing_from_list;
     // No command reaches it, and its lease expires by itself.
     if (liveness_.unresponsive_for(machine) > silence_limit()) {
@@ -124,7 +124,7 @@
     return std::nullopt;
 }
 
-bool ReleasePolicy::holds_cancelled_tasks_too_long(const Machine& machine) const {
+bool ReleasePolicy::holds_tasks_of_ended_job_too_long(const Machine& machine) const {
     if (!ended_jobs_hold_tasks_) return false;
     const auto limit = config_.cancellation_deadline * 2 / 5;
     return std::any_of(
--- a/src/provisioning/release_policy.hpp
+++ b/src/provisioning/release_policy.hpp
@@ -54,7 +54,7 @@
     std::optional<ScaleInReason> reason_to_release(const state::Machine& machine) const;
     /// Whether the machine has held tasks of an ended job for too long. Such tasks must be gone by
     /// the cancellation deadline, whether the machine can be reached or not.
-    bool holds_cancelled_tasks_too_long(const state::Machine& machine) const;
+    bool holds_tasks_of_ended_job_too_long(const state::Machine& machine) const;
 
   private:
     std::optional<ScaleInReason> reason_without_heartbeat(const state::Machine& machine) const;
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -24,7 +24,7 @@
 void ScaleIn::release(Machine& machine, ScaleInReason reason) {
     if (machine.instance.deleting) return;
     machine.instance.deleting = true;
-    deleter_.add(machine.host);
+    deleter_.enqueue(machine.host);
     context_.log(LogLevel::info, "event=scale_in host={} type={} tasks={} why={}",
                  machine.host.get(), machine.machine_type, machine.placements.size(),
                  to_string(reason));
@@ -39,32 +39,34 @@
 
 void ScaleIn::check_machine(Machine& machine) {
     if (machine.instance.deleting) return;
-    update_total_resources(machine);
+    update_capacity(machine);
     const auto reason = policy_.reason_to_release(machine);
     if (reason) release(machine, *reason);
     if (!machine.worker.heartbeat_received) return;
-    stop_tasks_before_departure(machine);
-    if (policy_.holds_cancelled_tasks_too_long(machine)) {
+    stop_tasks_on_leaving_machine(machine);
+    if (policy_.holds_tasks_of_ended_job_too_long(machine)) {
         release(machine, ScaleInReason::cancellation_unconfirmed);
     }
 }
 
-void ScaleIn::update_total_resources(Machine& machine) const {
+void ScaleIn::update_capacity(Machine& machine) const {
     const auto* type = machine_types_.find(machine.machine_type);
     if (type) machine.capacity = {type->cores, type->accelerators, type->ram_gb};
 }
 
 // On a cordoned machine every task is stopped. On one that is to be preempted, tasks that can save
 // a checkpoint are stopped just in time for that; the others run on for as long as they can.
-void ScaleIn::stop_tasks_before_departure(Machine& machine) {
+void ScaleIn::stop_tasks_on_leaving_machine(Machine& machine) {
     if (!machine.worker.preemption_at && !machine.worker.cordoned) return;
     for (auto& [key, placement] : machine.placements) {
         const auto& spec = placement.job->spec;
         const double checkpoint_s = spec.checkpoint_every_s > 0 ? spec.checkpoint_s : 0.0;
-        const auto saved_at = context_.now() + from_seconds(checkpoint_s) + kCheckpointMargin;
-        const bool last_chance = machine.worker.preemption_at && checkpoint_s > 0 &&
-                                 saved_at >= *machine.worker.preemption_at;
-        if (machine.worker.cordoned || last_chance) state_.stop_task(placement, checkpoint_s);
+        const auto checkpoint_done_at =
+            context_.now() + from_seconds(checkpoint_s) + kCheckpointMargin;
+        const bool must_checkpoint_now = machine.worker.preemption_at && checkpoint_s > 0 &&
+                                         checkpoint_done_at >= *machine.worker.preemption_at;
+        if (machine.worker.cordoned || must_checkpoint_now)
+            state_.stop_task(placement, checkpoint_s);
     }
 }
 
--- a/src/provisioning/scale_in.hpp
+++ b/src/provisioning/scale_in.hpp
@@ -37,8 +37,8 @@
 
   private:
     void check_machine(state::Machine& machine);
-    void update_total_resources(state::Machine& machine) const;
-    void stop_tasks_before_departure(state::Machine& machine);
+    void update_capacity(state::Machine& machine) const;
+    void stop_tasks_on_leaving_machine(state::Machine& machine);
 
     sansio::Context& context_;
     state::ClusterState& state_;
--- a/src/provisioning/scale_in_decision.cpp
+++ b/src/provisioning/scale_in_decision.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // The share of the idle timeout after which an on-demand machine, which costs more, is released.
-constexpr double kOnDemandIdleShare = 0.4;
+constexpr double kOnDemandIdleTimeoutRatio = 0.4;
 
 double price_per_core(const ScalingInput& input, const InstancePool& pool) {
     for (const auto& type : input.machine_types) {
@@ -20,7 +20,7 @@
 }
 
 // Whether some pending task could run on a machine of the pool.
-bool useful_for_demand(const ScalingInput& input, const InstancePool& pool) {
+bool usable_by_pending_tasks(const ScalingInput& input, const InstancePool& pool) {
     const auto type =
         std::find_if(input.machine_types.begin(), input.machine_types.end(),
                      [&](const auto& other) { return other.name == pool.machine_type; });
@@ -33,7 +33,7 @@
 }
 
 bool idle_too_long(const ScalingInput& input, const MachineCapacity& machine) {
-    const double share = machine.pool.spot ? 1.0 : kOnDemandIdleShare;
+    const double share = machine.pool.spot ? 1.0 : kOnDemandIdleTimeoutRatio;
     return machine.available && machine.idle_for > input.idle_timeout * share;
 }
 
@@ -69,9 +69,9 @@
     for (const auto index : release_candidates(input)) {
         const auto& machine = input.machines[index];
         // Pending tasks are no reason to keep a machine that none of them can use.
-        const bool useful = useful_for_demand(input, machine.pool);
-        if (scaling_out && useful) continue;
-        const double min_cores = useful ? target_cores : cores_for_load;
+        const bool usable = usable_by_pending_tasks(input, machine.pool);
+        if (scaling_out && usable) continue;
+        const double min_cores = usable ? target_cores : cores_for_load;
         if (fleet.cores() - machine.cores < min_cores) continue;
         fleet.remove(machine.cores);
         released.push_back(index);
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -15,8 +15,8 @@
 constexpr Millis kMaxBackoff{60000};
 constexpr std::uint64_t kMaxMachinesPerRequest = 50;
 // The record of a request names its machines: its size without any, and for each one.
-constexpr std::size_t kRecordBytes = 400;
-constexpr std::size_t kHostBytes = 30;
+constexpr std::size_t kBaseRecordBytes = 400;
+constexpr std::size_t kBytesPerHost = 30;
 
 InstancePool pool_of(const wire::ScaleOutRequest& request) {
     return {request.machine_type, request.zone, request.spot};
@@ -36,16 +36,17 @@
 void ScaleOut::reset() {
     in_flight_.clear();
     retry_at_.clear();
-    requests_ = 0;
+    request_count_ = 0;
 }
 
 void ScaleOut::request(const InstancePool& pool, std::size_t count) {
     const auto limit = config_.kv_limits.value_bytes();
-    const std::uint64_t fit = limit > 2 * kRecordBytes ? (limit - kRecordBytes) / kHostBytes : 1;
-    const auto most = std::min(kMaxMachinesPerRequest, fit);
-    const auto key = fmt::format("{}{}", key_prefix(), ++requests_);
-    state_.add_scale_out(
-        {key, pool.machine_type, pool.zone, pool.spot, std::min<std::uint64_t>(count, most)});
+    const std::uint64_t max_machines_on_record =
+        limit > 2 * kBaseRecordBytes ? (limit - kBaseRecordBytes) / kBytesPerHost : 1;
+    const auto max_machines = std::min(kMaxMachinesPerRequest, max_machines_on_record);
+    const auto key = fmt::format("{}{}", key_prefix(), ++request_count_);
+    state_.add_scale_out({key, pool.machine_type, pool.zone, pool.spot,
+                          std::min<std::uint64_t>(count, max_machines)});
 }
 
 // The term keeps keys of different leaders apart.
@@ -55,21 +56,21 @@
     return idempotency_key.starts_with(key_prefix());
 }
 
-std::map<InstancePool, std::size_t> ScaleOut::pending() const {
-    std::map<InstancePool, std::size_t> out;
+std::map<InstancePool, std::size_t> ScaleOut::outstanding_machines() const {
+    std::map<InstancePool, std::size_t> result;
     for (const auto& key : state_.unanswered_scale_outs()) {
         const auto& request = state_.scale_outs().at(key).request;
-        out[pool_of(request)] += request.how_many;
+        result[pool_of(request)] += request.how_many;
     }
-    return out;
+    return result;
 }
 
 std::set<InstancePool> ScaleOut::in_backoff() const {
-    std::set<InstancePool> out;
+    std::set<InstancePool> result;
     for (const auto& [pool, backoff] : backoffs_) {
-        if (context_.now() < backoff.until) out.insert(pool);
+        if (context_.now() < backoff.until) result.insert(pool);
     }
-    return out;
+    return result;
 }
 
 bool ScaleOut::may_send(const std::string& idempotency_key) {
@@ -84,7 +85,7 @@
 void ScaleOut::send() {
     for (const auto& key : state_.unanswered_scale_outs()) {
         if (!may_send(key)) continue;
-        if (!cloud_.take_request()) return;
+        if (!cloud_.try_acquire_request()) return;
         in_flight_.insert(key);
         const auto& request = state_.scale_outs().at(key).request;
         cloud_.provision(request, [this, request,
--- a/src/provisioning/scale_out.hpp
+++ b/src/provisioning/scale_out.hpp
@@ -39,7 +39,7 @@
     /// Pools that have refused lately.
     std::set<InstancePool> in_backoff() const;
     /// Machines requested whose request the cloud has not answered, by pool.
-    std::map<InstancePool, std::size_t> pending() const;
+    std::map<InstancePool, std::size_t> outstanding_machines() const;
 
   private:
     struct Backoff {
@@ -62,7 +62,7 @@
     std::set<std::string> in_flight_;          // idempotency keys
     std::map<std::string, Instant> retry_at_;  // by idempotency key
     std::map<InstancePool, Backoff> backoffs_;
-    std::uint64_t requests_ = 0;  // in this term
+    std::uint64_t request_count_ = 0;  // in this term
 };
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/scale_out_decision.cpp
+++ b/src/provisioning/scale_out_decision.cpp
@@ -12,9 +12,9 @@
 constexpr std::size_t kMaxMachinesPerPlan = 40;
 // On-demand machines cost a multiple of spot ones: they are worth it only for a backlog that would
 // outlast a boot by this factor.
-constexpr double kOnDemandBoots = 1.5;
+constexpr double kOnDemandBacklogFactor = 1.5;
 
-double core_seconds(const Demand& demand) {
+double total_core_seconds(const Demand& demand) {
     return demand.tasks * demand.task_resources.cores * demand.run_time.count();
 }
 
@@ -29,21 +29,24 @@
 
 // The demand with the most work decides what kind of machine is worth adding.
 const Demand* largest_demand(const ScalingInput& input) {
-    const auto it = std::max_element(
-        input.demand.begin(), input.demand.end(),
-        [](const Demand& a, const Demand& b) { return core_seconds(a) < core_seconds(b); });
+    const auto it = std::max_element(input.demand.begin(), input.demand.end(),
+                                     [](const Demand& a, const Demand& b) {
+                                         return total_core_seconds(a) < total_core_seconds(b);
+                                     });
     return it == input.demand.end() ? nullptr : &*it;
 }
 
 void add_machines_up_to_target(const ScalingInput& input, double target_cores,
                                double backlog_core_seconds, PlannedFleet& fleet) {
     const Demand* demand = largest_demand(input);
-    const bool needs_on_demand = demand && !demand->spot_allowed;
+    const bool on_demand_required = demand && !demand->spot_allowed;
     while (fleet.cores() < target_cores && fleet.requested() < kMaxMachinesPerPlan) {
         const bool long_backlog =
-            backlog_core_seconds > fleet.cores() * input.shortest_boot.count() * kOnDemandBoots;
-        const auto selected = select_pool(
-            input, fleet, {demand, target_cores - fleet.cores(), long_backlog || needs_on_demand});
+            backlog_core_seconds >
+            fleet.cores() * input.shortest_boot.count() * kOnDemandBacklogFactor;
+        const auto selected =
+            select_pool(input, fleet,
+                        {demand, target_cores - fleet.cores(), long_backlog || on_demand_required});
         if (!selected) break;
         fleet.add(selected->pool, selected->cores);
     }
--- a/src/provisioning/scaling_plan.hpp
+++ b/src/provisioning/scaling_plan.hpp
@@ -43,7 +43,7 @@
     std::vector<Demand> demand;
     std::vector<MachineCapacity> machines;
     /// Machines that have been requested and that the cloud has not answered for yet.
-    std::map<InstancePool, std::size_t> pending;
+    std::map<InstancePool, std::size_t> outstanding_machines;
     /// Pools that have refused lately: nothing is requested from them.
     std::set<InstancePool> in_backoff;
     /// For pools whose machines have not come up lately: how many more may be requested. A limit
