--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -53,7 +53,7 @@
         context_.request_wake(next_send_at_);
         return;
     }
-    const auto due_keys = state_.dirty().due();
+    const auto due_keys = state_.dirty().due_keys();
     if (due_keys.empty()) return;
     if (write_budget_.available(now) < 1) {
         next_send_at_ = write_budget_.ready_at(1, now);
@@ -157,7 +157,7 @@
                                           KeyRevision revision) {
     for (const auto& key : transaction.split_records) pending_splits_.mark_committed(key);
     for (const auto& [key, removed] : transaction.changes) {
-        state_.dirty().committed(key, transaction.state_version);
+        state_.dirty().mark_committed(key, transaction.state_version);
         if (key.starts_with(kTerminalPrefix)) {
             handle_committed_terminal_record(JobId(without_prefix(key, kTerminalPrefix)));
             continue;
@@ -186,7 +186,7 @@
         placement.commit = CommitState::committed;
         state_.request_commands(*placement.machine);
     });
-    if (!has_uncommitted) state_.dirty().lower_to_cadence(key);
+    if (!has_uncommitted) state_.dirty().lower_to_batched(key);
 }
 
 void ClusterStateWriter::handle_committed_terminal_record(const JobId& id) {
--- a/src/state/dirty_records.hpp
+++ b/src/state/dirty_records.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which records of the cluster state have changed in memory and are not in the key-value store
-/// yet, and when each is to be committed.
+/// Records of the cluster state that have changed in memory since they were last written to the
+/// key-value store, and when each is to be committed.
 #pragma once
 
 #include <cstdint>
@@ -14,46 +14,62 @@
 
 namespace dunebridge::state {
 
-/// How soon a change is to be committed; the first go first.
+/// How soon a change is to be committed. Due records are committed in the order of these values.
 enum class CommitUrgency : std::uint8_t {
-    terminal,  // users wait for it
-    prompt,    // a placement or a scale-out request request: something starts once it is committed
-    batched    // something proved done or gone: the workers' lists hold it until then
+    /// The end of a job, which a user is waiting for, or the format mark. Committed at once.
+    terminal,
+    /// A placement or a scale-out request: something starts once it is committed. Committed at
+    /// once.
+    prompt,
+    /// Anything else, for example that a task is done or that a machine is gone. Several changes to
+    /// a record are committed together after a fixed delay. Nothing is lost by waiting: a worker
+    /// lists an exited task in its heartbeats until the change is committed.
+    batched
 };
 
 /// A record with changes that are not committed yet.
 struct DirtyRecord {
-    Version first = 0;  // of the oldest change that is not committed
-    Version last = 0;   // of the newest
+    /// Version of the oldest change that is not committed, or a lower bound of it.
+    Version first_version = 0;
+    /// Version of the newest change.
+    Version last_version = 0;
+    /// The highest urgency of its changes.
     CommitUrgency urgency = CommitUrgency::batched;
-    Instant since{};
+    /// When the oldest uncommitted change was made, or when the changes before it were committed,
+    /// whichever is later. The delay of batched changes runs from here.
+    Instant dirty_since{};
 };
 
-/// Every change to the cluster state gets a version, which grows as long as the process lives.
+/// The set of dirty records, by key. Gives every change to the cluster state a version, which grows
+/// for as long as the process lives.
 class DirtyRecords {
   public:
-    explicit DirtyRecords(sansio::Context& port) : context_(port) {}
+    /// The context must outlive this object.
+    explicit DirtyRecords(sansio::Context& context) : context_(context) {}
 
     void clear() { records_.clear(); }
     bool empty() const { return records_.empty(); }
+    /// The version of the latest change.
     Version version() const { return version_; }
-    /// Null if the record has no change that is not committed.
+    /// Returns the record with this key; null if it has no uncommitted change.
     const DirtyRecord* find(const std::string& key) const;
 
-    /// The record has changed.
+    /// Registers a change to the record.
     void mark(const std::string& key, CommitUrgency urgency);
-    /// The record takes over changes that another has been waiting with.
-    void mark_in_place_of(const DirtyRecord& earlier, const std::string& key);
+    /// Registers a change to a record that replaces `replaced`, wholly or in part, and takes over
+    /// the age and the urgency of its uncommitted changes.
+    void mark_replacement(const DirtyRecord& replaced, const std::string& key);
     void erase(const std::string& key) { records_.erase(key); }
-    /// The record's changes up to the version are committed.
-    void committed(const std::string& key, Version version);
-    /// What is left of the record's changes lets nothing start.
-    void lower_to_cadence(const std::string& key);
+    /// Registers that the record's changes up to the version are committed.
+    void mark_committed(const std::string& key, Version version);
+    /// Lowers the record's urgency to `batched`: none of its remaining changes lets anything start.
+    void lower_to_batched(const std::string& key);
 
-    /// Whether the record's changes up to the version are in the key-value store.
+    /// Returns whether the record's changes up to the version are in the key-value store.
     bool is_committed(const std::string& key, Version version) const;
-    /// Keys of what is to be committed now, the most urgent class first, the oldest first in each.
-    std::vector<std::string> due();
+    /// Returns the keys of the records that are to be committed now, in order of urgency and then
+    /// of age. Asks to be woken when the next batched record becomes due.
+    std::vector<std::string> due_keys();
 
   private:
     sansio::Context& context_;
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -201,7 +201,7 @@
     const auto unsplit = found ? *found : DirtyRecord{0, 0, CommitUrgency::batched, context_.now()};
     pending_splits_.split(split_record, record.key, parts);
     replace_range(*record.tasks.job, record.key, parts);
-    for (const auto& part : parts) dirty.mark_in_place_of(unsplit, part.key);
+    for (const auto& part : parts) dirty.mark_replacement(unsplit, part.key);
     if (record.key != split_record) {
         dirty.erase(record.key);
     } else {
