--- a/src/api/ancestor_resolver.cpp
+++ b/src/api/ancestor_resolver.cpp
@@ -13,12 +13,12 @@
     std::vector<std::string> ids;
     ids.reserve(terminal.size());
     for (const auto& id : terminal) ids.push_back(id.get());
-    kv_client_.get_each(kv::kTerminalPrefix, std::move(ids), kReadTimeout,
-                        [this, terminal = std::move(terminal),
-                         request = std::move(request)](const kv::MultiGetResult& rows) mutable {
-                            const auto resolution = take_records(request, terminal, rows);
-                            proceed(std::move(request), resolution);
-                        });
+    kv_client_.multi_get(kv::kTerminalPrefix, std::move(ids), kReadTimeout,
+                         [this, terminal = std::move(terminal),
+                          request = std::move(request)](const kv::MultiGetResult& rows) mutable {
+                             const auto resolution = take_records(request, terminal, rows);
+                             proceed(std::move(request), resolution);
+                         });
 }
 
 AncestorResolver::Resolution AncestorResolver::take_records(JobRequest& request,
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -37,14 +37,14 @@
 }
 
 void DependencyLookup::read_job_records(const SharedLookup& lookup) {
-    kv_client_.get_each(kv::kJobPrefix, lookup->unread, kReadTimeout,
-                        [this, lookup](const kv::MultiGetResult& rows) {
-                            if (!rows.available || is_late(*lookup)) {
-                                finish(lookup, Outcome::unavailable);
-                            } else {
-                                take_job_records(lookup, rows);
-                            }
-                        });
+    kv_client_.multi_get(kv::kJobPrefix, lookup->unread, kReadTimeout,
+                         [this, lookup](const kv::MultiGetResult& rows) {
+                             if (!rows.available || is_late(*lookup)) {
+                                 finish(lookup, Outcome::unavailable);
+                             } else {
+                                 take_job_records(lookup, rows);
+                             }
+                         });
 }
 
 void DependencyLookup::take_job_records(const SharedLookup& lookup,
@@ -72,16 +72,16 @@
 // A job record is removed only after the terminal record exists: a job that has neither was never
 // accepted.
 void DependencyLookup::read_terminal_records(const SharedLookup& lookup) {
-    kv_client_.get_each(kv::kTerminalPrefix, lookup->without_record, kReadTimeout,
-                        [this, lookup](const kv::MultiGetResult& rows) {
-                            if (!rows.available || is_late(*lookup)) {
-                                finish(lookup, Outcome::unavailable);
-                            } else if (!take_terminal_records(*lookup, rows)) {
-                                finish(lookup, Outcome::never_accepted);
-                            } else {
-                                read_next_parts(lookup);
-                            }
-                        });
+    kv_client_.multi_get(kv::kTerminalPrefix, lookup->without_record, kReadTimeout,
+                         [this, lookup](const kv::MultiGetResult& rows) {
+                             if (!rows.available || is_late(*lookup)) {
+                                 finish(lookup, Outcome::unavailable);
+                             } else if (!take_terminal_records(*lookup, rows)) {
+                                 finish(lookup, Outcome::never_accepted);
+                             } else {
+                                 read_next_parts(lookup);
+                             }
+                         });
 }
 
 bool DependencyLookup::take_terminal_records(Lookup& lookup, const kv::MultiGetResult& rows) {
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -43,8 +43,8 @@
                      });
 }
 
-void KvClient::get_each(const std::string& prefix, std::vector<std::string> names, Millis timeout,
-                        OnMultiGet then) {
+void KvClient::multi_get(const std::string& prefix, std::vector<std::string> names, Millis timeout,
+                         OnMultiGet then) {
     MultiGet::start(connection_, prefix, std::move(names), timeout, std::move(then));
 }
 
--- a/src/kv/client.hpp
+++ b/src/kv/client.hpp
@@ -49,8 +49,8 @@
     void get(const std::string& key, Millis timeout, OnGet then);
     /// Reads the keys that are the prefix followed by one of the names, with few requests. Names
     /// end in a digit. The timeout is that of each request. For no names, `then` is called at once.
-    void get_each(const std::string& prefix, std::vector<std::string> names, Millis timeout,
-                  OnMultiGet then);
+    void multi_get(const std::string& prefix, std::vector<std::string> names, Millis timeout,
+                   OnMultiGet then);
     /// Reads all keys with a prefix, page after page.
     void list(const std::string& prefix, OnList then);
     /// Waits for changes of keys with a prefix after the revision `from`, at most for `wait`.
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -88,12 +88,12 @@
     for (const auto& id : unread_ends_) names.push_back(id.get());
     reading_ = !names.empty();
     if (names.empty()) return;
-    kv_client_.get_each(kv::kTerminalPrefix, std::move(names), kReadTimeout,
-                        [this, clears = clears_](const kv::MultiGetResult& rows) {
-                            if (clears != clears_ || !callbacks_.active()) return;
-                            if (rows.available) take_ends(rows);
-                            after(kReadAgain, [this] { read_ends(); });
-                        });
+    kv_client_.multi_get(kv::kTerminalPrefix, std::move(names), kReadTimeout,
+                         [this, clears = clears_](const kv::MultiGetResult& rows) {
+                             if (clears != clears_ || !callbacks_.active()) return;
+                             if (rows.available) take_ends(rows);
+                             after(kReadAgain, [this] { read_ends(); });
+                         });
 }
 
 void DependencyGraph::take_ends(const kv::MultiGetResult& rows) {
