--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -111,7 +111,7 @@
         return;
     }
     try {
-        const auto document = wire::Document::need(request.body);
+        const auto document = wire::Document::parse_or_throw(request.body);
         if (leads()) {
             handle_worker_heartbeat_as_leader(id, document.root());
         } else {
@@ -134,7 +134,7 @@
 
 void Controller::handle_request(RequestId id, const PeerHeartbeatRequest& request) {
     try {
-        const auto document = wire::Document::need(request.body);
+        const auto document = wire::Document::parse_or_throw(request.body);
         peer_monitor_.record_heartbeat(coordination::decode_peer_heartbeat(document.root()));
         context_.respond(id, sansio::kHttpOk,
                          coordination::encode(peer_heartbeat_builder_.build()));
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -58,7 +58,7 @@
 void PeerMonitor::handle_response(const ControllerName& peer, const sansio::HttpResult& response,
                                   Instant requested_at) {
     try {
-        const auto document = wire::Document::need(response.body);
+        const auto document = wire::Document::parse_or_throw(response.body);
         const auto heartbeat = decode_peer_heartbeat(document.root());
         if (heartbeat.node == peer) {
             peers_[peer].cancellation_log.record_response(heartbeat.cancellations, requested_at,
--- a/src/provisioning/cloud_client.cpp
+++ b/src/provisioning/cloud_client.cpp
@@ -22,7 +22,7 @@
                      Decode decode) -> std::optional<std::invoke_result_t<Decode, wire::Value>> {
     if (!response.ok()) return std::nullopt;
     try {
-        const auto doc = wire::Document::need(response.body);
+        const auto doc = wire::Document::parse_or_throw(response.body);
         return decode(doc.root());
     } catch (const wire::DecodeError& e) {
         context.log(LogLevel::error, "event={} error=\"{}\"", bad_event, e.what());
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -99,7 +99,7 @@
     }
 }
 
-Document Document::need(std::string_view bytes) {
+Document Document::parse_or_throw(std::string_view bytes) {
     auto document = parse(bytes);
     if (!document) throw DecodeError(DecodeProblem::not_messagepack);
     return std::move(*document);
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -58,7 +58,7 @@
     /// Empty if the bytes are not MessagePack.
     static std::optional<Document> parse(std::string_view bytes);
     /// Throws DecodeError if they are not.
-    static Document need(std::string_view bytes);
+    static Document parse_or_throw(std::string_view bytes);
     Value root() const { return Value(handle_.get()); }
 
   private:
--- a/src/workers/worker_client.cpp
+++ b/src/workers/worker_client.cpp
@@ -23,7 +23,7 @@
     CommandResult result{refused || reply.not_sent(), std::nullopt};
     if (!reply.ok() && reply.status != 409) return result;
     try {
-        const auto doc = wire::Document::need(reply.body);
+        const auto doc = wire::Document::parse_or_throw(reply.body);
         auto heartbeat = wire::decode_worker_heartbeat(doc.root());
         if (heartbeat.host == host) result.heartbeat = std::move(heartbeat);
     } catch (const wire::DecodeError& e) {
