--- a/src/api/ancestor_check.cpp
+++ b/src/api/ancestor_check.cpp
@@ -76,8 +76,8 @@
         check_next(job);
     } else if (result.outcome == kv::TransactionOutcome::conflict) {
         std::vector<JobId> terminal;
-        terminal.reserve(result.failed.size());
-        for (const auto& key : result.failed) {
+        terminal.reserve(result.conflicting_keys.size());
+        for (const auto& key : result.conflicting_keys) {
             terminal.emplace_back(kv::without_prefix(key, kv::kTerminalPrefix));
         }
         finish(job, Outcome::some_terminal, terminal);
--- a/src/api/linearizable_read_queue.cpp
+++ b/src/api/linearizable_read_queue.cpp
@@ -39,7 +39,7 @@
 
 void LinearizableReadQueue::handle_result(std::vector<JobRequest> requests,
                                           const kv::TransactionResult& result) {
-    const FailedKeys failed(result.failed.begin(), result.failed.end());
+    const FailedKeys failed(result.conflicting_keys.begin(), result.conflicting_keys.end());
     for (auto& request : requests) {
         if (result.outcome == kv::TransactionOutcome::ok) {
             responder_.respond_confirmed(request);
--- a/src/api/submission_queue.cpp
+++ b/src/api/submission_queue.cpp
@@ -79,7 +79,7 @@
 
 void SubmissionQueue::handle_result(std::vector<JobRequest> requests,
                                     const kv::TransactionResult& result) {
-    const FailedKeys failed(result.failed.begin(), result.failed.end());
+    const FailedKeys failed(result.conflicting_keys.begin(), result.conflicting_keys.end());
     for (auto& request : requests) {
         if (result.outcome == kv::TransactionOutcome::ok) {
             handle_created(request, result.rev);
--- a/src/kv/response_decoding.cpp
+++ b/src/kv/response_decoding.cpp
@@ -69,7 +69,7 @@
     result.rev = KeyRevision(body["store_rev"].count().value_or(0));
     const auto failed = body["failed"];
     for (std::size_t i = 0; i < failed.size(); ++i) {
-        if (const auto key = failed.at(i).text()) result.failed.emplace_back(*key);
+        if (const auto key = failed.at(i).text()) result.conflicting_keys.emplace_back(*key);
     }
     return result;
 }
--- a/src/kv/results.hpp
+++ b/src/kv/results.hpp
@@ -30,8 +30,9 @@
 /// Result of a compare-and-swap transaction.
 struct TransactionResult {
     TransactionOutcome outcome = TransactionOutcome::unknown;
-    KeyRevision rev;                  ///< Of TransactionOutcome::ok: revision of the keys written.
-    std::vector<std::string> failed;  ///< Of TransactionOutcome::conflict: keys that did not match.
+    KeyRevision rev;  ///< Of TransactionOutcome::ok: revision of the keys written.
+    std::vector<std::string>
+        conflicting_keys;  ///< Of TransactionOutcome::conflict: keys that did not match.
 };
 
 /// A key with its value and the revision at which it was last written.
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -174,8 +174,9 @@
     if (result.outcome == kv::TransactionOutcome::ok) {
         unchecked.erase(unchecked.begin(),
                         unchecked.begin() + static_cast<std::ptrdiff_t>(checked));
-    } else if (result.outcome == kv::TransactionOutcome::conflict && !result.failed.empty()) {
-        for (const auto& key : result.failed) {
+    } else if (result.outcome == kv::TransactionOutcome::conflict &&
+               !result.conflicting_keys.empty()) {
+        for (const auto& key : result.conflicting_keys) {
             const JobId id(kv::without_prefix(key, kv::kTerminalPrefix));
             state_.mark_cancelled(id, context_.wall_ms());
             std::erase(unchecked, id);
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -203,10 +203,11 @@
 }
 
 void ClusterStateWriter::handle_conflict(const kv::TransactionResult& result) {
-    if (apply_cancellations(result.failed)) return;
+    if (apply_cancellations(result.conflicting_keys)) return;
     context_.log(sansio::LogLevel::info, "event=transaction_conflict term={} key={} of={}",
-                 election_.term().get(), result.failed.empty() ? "" : result.failed.front(),
-                 result.failed.size());
+                 election_.term().get(),
+                 result.conflicting_keys.empty() ? "" : result.conflicting_keys.front(),
+                 result.conflicting_keys.size());
     // The leader key has changed. Standing again over the old revision fails if another leads.
     election_.require_new_term();
 }
--- a/src/state/retried_transaction.cpp
+++ b/src/state/retried_transaction.cpp
@@ -134,7 +134,7 @@
 }
 
 void RetriedTransaction::resolve_conflict(const TransactionResult& conflict) {
-    const auto& failed = conflict.failed;
+    const auto& failed = conflict.conflicting_keys;
     const auto& leader_key = preconditions_.front().key;
     const bool deposed = std::find(failed.begin(), failed.end(), leader_key) != failed.end();
     const auto* write = write_to_read_back();
