--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -91,7 +91,7 @@
         const auto terminal = kv::decode_terminal_record(row->second.value);
         if (terminal.done()) {
             const JobId job(id);
-            cache_.set_terminal(job, {job, JobPhase::done, terminal.tasks.value_or(0), 0});
+            cache_.set_terminal(job, {job, JobPhase::done, terminal.task_count.value_or(0), 0});
         } else {
             lookup.result.any_cancelled = true;
         }
--- a/src/api/job_lookup.cpp
+++ b/src/api/job_lookup.cpp
@@ -67,7 +67,7 @@
         return;
     }
     const auto record = kv::decode_terminal_record(result.entry->value);
-    const auto tasks_done = record.done() ? record.tasks.value_or(0) : 0;
+    const auto tasks_done = record.done() ? record.task_count.value_or(0) : 0;
     finish(job, Outcome::terminal, {job, record.phase, tasks_done, 0});
 }
 
--- a/src/kv/records.cpp
+++ b/src/kv/records.cpp
@@ -46,9 +46,9 @@
 
 PackedRecord encode(const TerminalRecord& end) {
     Writer writer;
-    writer.map(end.tasks ? 3 : 2).text("phase").text(wire::name_of(end.phase));
-    if (end.tasks) writer.text("shards").count(*end.tasks);
-    writer.text("at").count(static_cast<std::uint64_t>(end.at_ms));
+    writer.map(end.task_count ? 3 : 2).text("phase").text(wire::name_of(end.phase));
+    if (end.task_count) writer.text("shards").count(*end.task_count);
+    writer.text("at").count(static_cast<std::uint64_t>(end.ended_ms));
     return packed(writer);
 }
 
@@ -56,8 +56,8 @@
     TerminalRecord end;
     const bool done = value["phase"].text() == wire::name_of(wire::JobPhase::done);
     end.phase = done ? wire::JobPhase::done : wire::JobPhase::cancelled;
-    end.tasks = value["shards"].count();
-    end.at_ms = static_cast<std::int64_t>(value["at"].count().value_or(0));
+    end.task_count = value["shards"].count();
+    end.ended_ms = static_cast<std::int64_t>(value["at"].count().value_or(0));
     return end;
 }
 
--- a/src/kv/records.hpp
+++ b/src/kv/records.hpp
@@ -25,8 +25,8 @@
     wire::JobPhase phase = wire::JobPhase::cancelled;  ///< `done` or `cancelled`.
     /// The number of tasks; absent if the job was cancelled by a controller that does not lead,
     /// which does not know it.
-    std::optional<std::uint64_t> tasks;
-    std::int64_t at_ms = 0;  ///< Time of day, Unix epoch.
+    std::optional<std::uint64_t> task_count;
+    std::int64_t ended_ms = 0;  ///< Time of day, Unix epoch.
 
     bool done() const { return phase == wire::JobPhase::done; }
     bool operator==(const TerminalRecord&) const = default;
--- a/src/state/cluster_state_follower.cpp
+++ b/src/state/cluster_state_follower.cpp
@@ -80,7 +80,7 @@
 void ClusterStateFollower::apply_terminal_record(const kv::WatchEvent& change) {
     const JobId id(kv::without_prefix(change.key, kv::kTerminalPrefix));
     const auto record = kv::decode_terminal_record(change.value);
-    state_.mark_cancelled(id, record.at_ms);
+    state_.mark_cancelled(id, record.ended_ms);
     state_.ended(id, record.phase);
 }
 
