--- a/src/provisioning/machine_inventory.cpp
+++ b/src/provisioning/machine_inventory.cpp
@@ -62,16 +62,16 @@
 }
 
 void MachineInventory::apply_page(const wire::MachineListPage& page, std::uint64_t generation) {
-    for (const auto& row : page.hosts) apply_row(row);
-    if (page.has_next && !page.hosts.empty()) {
+    for (const auto& row : page.machines) apply_row(row);
+    if (page.has_next && !page.machines.empty()) {
         reading_ = true;
-        read_page(page.hosts.back().host.get(), generation);
+        read_page(page.machines.back().host.get(), generation);
         return;
     }
     count_missing();
 }
 
-void MachineInventory::apply_row(const wire::MachineListing& row) {
+void MachineInventory::apply_row(const wire::ListedMachine& row) {
     seen_.insert(row.host);
     if (released_machines_.contains(row.host)) return;  // the list is late
     auto* machine = state_.find_machine(row.host);
@@ -88,7 +88,7 @@
     }
     if (!machine->worker.heartbeat_received) {
         instance.provisioned_at =
-            std::min(instance.provisioned_at, context_.now() - from_seconds(row.held_s));
+            std::min(instance.provisioned_at, context_.now() - from_seconds(row.age_s));
         instance.starting = row.phase == wire::MachinePhase::starting;
     }
     if (row.phase != wire::MachinePhase::failed || instance.failed) return;
--- a/src/provisioning/machine_inventory.hpp
+++ b/src/provisioning/machine_inventory.hpp
@@ -41,7 +41,7 @@
     void start();
     void read_page(const std::string& after, std::uint64_t generation);
     void apply_page(const wire::MachineListPage& page, std::uint64_t generation);
-    void apply_row(const wire::MachineListing& row);
+    void apply_row(const wire::ListedMachine& row);
     void count_missing();
 
     sansio::Context& context_;
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -30,17 +30,17 @@
     return type;
 }
 
-MachineListing decode_machine_listing(Value value) {
-    MachineListing listing;
-    listing.host = MachineName(value["name_id"].need_text("name_id"));
-    listing.endpoint = value["endpoint"].text().value_or("");
-    listing.machine_type = value["shape"].need_text("shape");
-    listing.zone = value["region"].need_text("region");
-    listing.spot = value["reclaimable"].boolean().value_or(false);
+ListedMachine decode_listed_machine(Value value) {
+    ListedMachine machine;
+    machine.host = MachineName(value["name_id"].need_text("name_id"));
+    machine.endpoint = value["endpoint"].text().value_or("");
+    machine.machine_type = value["shape"].need_text("shape");
+    machine.zone = value["region"].need_text("region");
+    machine.spot = value["reclaimable"].boolean().value_or(false);
     const auto phase = from_name(kMachinePhases, value["phase"].need_text("phase"));
-    listing.phase = phase.value_or(MachinePhase::starting);
-    listing.held_s = value["held_s"].number().value_or(0);
-    return listing;
+    machine.phase = phase.value_or(MachinePhase::starting);
+    machine.age_s = value["held_s"].number().value_or(0);
+    return machine;
 }
 
 }  // namespace
@@ -86,7 +86,7 @@
     MachineListPage page;
     page.has_next = body["has_next"].boolean().value_or(false);
     for (std::size_t i = 0; i < list.size(); ++i) {
-        page.hosts.push_back(decode_machine_listing(list.at(i)));
+        page.machines.push_back(decode_listed_machine(list.at(i)));
     }
     return page;
 }
--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -53,19 +53,19 @@
 enum class MachinePhase : std::uint8_t { starting, running, failed };
 
 /// One row of the cloud's list of machines.
-struct MachineListing {
+struct ListedMachine {
     MachineName host;
     std::string endpoint;
     std::string machine_type;
     std::string zone;
     bool spot = false;
     MachinePhase phase = MachinePhase::starting;
-    double held_s = 0;  ///< seconds since the machine was granted
+    double age_s = 0;  ///< seconds since the machine was granted
 };
 
 /// One page of the cloud's list of machines.
 struct MachineListPage {
-    std::vector<MachineListing> hosts;
+    std::vector<ListedMachine> machines;
     bool has_next = false;
 };
 
--- a/tests/sim/controller_harness.cpp
+++ b/tests/sim/controller_harness.cpp
@@ -112,7 +112,7 @@
       state_(clock_),
       cloud_(clock_, {{"big", 16, 0, 64, 50, 1, 0.9, 0.3, 5, {"a"}}}, most_machines, Millis(4000),
              5,
-             {[this](const wire::MachineListing& row) { up_.push_back(row); },
+             {[this](const wire::ListedMachine& row) { up_.push_back(row); },
               [](const MachineName&) {},
               [this](const MachineName& host) { scaled_in_.insert(host); }}) {
     restart();
--- a/tests/sim/controller_harness.hpp
+++ b/tests/sim/controller_harness.hpp
@@ -99,7 +99,7 @@
     std::vector<controller::Command> queue_;
     std::map<RequestId, sansio::HttpResponse> answers_;
     std::vector<DirectCommand> commands_in_flight_;
-    std::vector<wire::MachineListing> up_;
+    std::vector<wire::ListedMachine> up_;
     std::set<MachineName> scaled_in_;
     std::vector<std::string> logs_;
     bool writes_lost_ = false;
--- a/tests/sim/fake_cloud.hpp
+++ b/tests/sim/fake_cloud.hpp
@@ -21,15 +21,15 @@
   public:
     /// A machine, from its scale-out request on.
     struct Machine {
-        wire::MachineListing row;
+        wire::ListedMachine row;
         Instant rented{};
         Instant gone = Instant::max();
         Instant failed = Instant::max();
     };
     /// Callbacks of the simulation.
     struct Events {
-        std::function<void(const wire::MachineListing&)> up;  ///< It has booted.
-        std::function<void(const MachineName&)> gone;         ///< It has vanished or failed.
+        std::function<void(const wire::ListedMachine&)> up;  ///< It has booted.
+        std::function<void(const MachineName&)> gone;        ///< It has vanished or failed.
         std::function<void(const MachineName&)>
             returned;  ///< The service deletes it; called before `gone`.
     };
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -39,7 +39,7 @@
 }
 
 FakeCloud::Events SimulatedCluster::cloud_events() {
-    return {[this](const wire::MachineListing& listing) { start_worker(listing); },
+    return {[this](const wire::ListedMachine& listing) { start_worker(listing); },
             [this](const MachineName& host) {
                 const auto it = machines_.find(host);
                 if (it != machines_.end()) it->second->stop();
@@ -52,7 +52,7 @@
             }};
 }
 
-void SimulatedCluster::start_worker(const wire::MachineListing& listing) {
+void SimulatedCluster::start_worker(const wire::ListedMachine& listing) {
     const auto types = machine_types();
     const auto type = std::find_if(types.begin(), types.end(),
                                    [&](const auto& t) { return t.name == listing.machine_type; });
--- a/tests/sim/simulated_cluster.hpp
+++ b/tests/sim/simulated_cluster.hpp
@@ -70,7 +70,7 @@
     }
 
     FakeCloud::Events cloud_events();
-    void start_worker(const wire::MachineListing& listing);
+    void start_worker(const wire::ListedMachine& listing);
     void enforce_site_limits();
     void step_once(Instant limit);
 
