--- a/src/provisioning/pool_selection.cpp
+++ b/src/provisioning/pool_selection.cpp
@@ -36,7 +36,7 @@
     // A machine larger than what is wanted is partly paid for nothing, at first.
     const double spare_share = std::max(0.0, type.cores - missing_cores) / type.cores;
     const auto in_zone = static_cast<double>(fleet.machines_in_zone(pool.zone));
-    return (pool.spot ? type.low_price : type.rate) / type.cores *
+    return (pool.spot ? type.spot_price : type.on_demand_price) / type.cores *
            (1 + kSparePenalty * spare_share) * (1 + type.startup_s / kUsefulLife_s) *
            (1 + kZoneSharePenalty * in_zone);
 }
--- a/src/provisioning/scale_in_decision.cpp
+++ b/src/provisioning/scale_in_decision.cpp
@@ -13,7 +13,7 @@
 double price_per_core(const ScalingInput& input, const InstancePool& pool) {
     for (const auto& type : input.machine_types) {
         if (type.name == pool.machine_type && type.cores > 0) {
-            return (pool.spot ? type.low_price : type.rate) / type.cores;
+            return (pool.spot ? type.spot_price : type.on_demand_price) / type.cores;
         }
     }
     return 0;
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -23,8 +23,8 @@
     type.ram_gb = need_amount(value["ram_gb"], "ram_gb");
     type.cache_gb = value["cache_gb"].number().value_or(0);
     type.fetch_gb_per_s = value["fetch_gb_per_s"].number().value_or(0);
-    type.rate = need_amount(value["rate"], "rate");
-    type.low_price = value["low_price"].number().value_or(type.rate);
+    type.on_demand_price = need_amount(value["rate"], "rate");
+    type.spot_price = value["low_price"].number().value_or(type.on_demand_price);
     type.startup_s = value["startup_s"].number().value_or(kUnknownStartup_s);
     type.zones = text_list(value["regions"], "regions");
     return type;
--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -22,9 +22,9 @@
     double ram_gb = 0;
     double cache_gb = 0;
     double fetch_gb_per_s = 0;
-    double rate = 0;       ///< price of an on-demand machine
-    double low_price = 0;  ///< present price of a spot machine
-    double startup_s = 0;  ///< nominal boot time
+    double on_demand_price = 0;  ///< price of an on-demand machine
+    double spot_price = 0;       ///< present price of a spot machine
+    double startup_s = 0;        ///< nominal boot time
     std::vector<std::string> zones;
 };
 
--- a/tests/sim/fake_cloud.cpp
+++ b/tests/sim/fake_cloud.cpp
@@ -27,8 +27,8 @@
         for (const auto& t : types_) {
             w.map(9).text("name").text(t.name).text("cores").number(t.cores);
             w.text("accelerators").number(t.accelerators).text("ram_gb").number(t.ram_gb);
-            w.text("cache_gb").number(t.cache_gb).text("rate").number(t.rate);
-            w.text("low_price").number(t.low_price).text("startup_s").number(t.startup_s);
+            w.text("cache_gb").number(t.cache_gb).text("rate").number(t.on_demand_price);
+            w.text("low_price").number(t.spot_price).text("startup_s").number(t.startup_s);
             w.text("regions").list(t.zones.size());
             for (const auto& r : t.zones) w.text(r);
         }
