--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -59,7 +59,7 @@
     std::map<InstancePool, std::size_t> out;
     for (const auto& key : state_.unanswered_scale_outs()) {
         const auto& request = state_.scale_outs().at(key).request;
-        out[pool_of(request)] += request.how_many;
+        out[pool_of(request)] += request.machine_count;
     }
     return out;
 }
@@ -103,7 +103,7 @@
     }
     update_backoff(request, result);
     context_.log(LogLevel::info, "event=scale_out key={} type={} zone={} spot={} wanted={} got={}",
-                 key, request.machine_type, request.zone, request.spot, request.how_many,
+                 key, request.machine_type, request.zone, request.spot, request.machine_count,
                  result.hosts.size());
     retry_at_.erase(key);
     add_machines(key, result);
@@ -113,7 +113,7 @@
     using Outcome = ScaleOutResult::Outcome;
     const auto pool = pool_of(request);
     const bool partly_granted =
-        result.outcome == Outcome::granted && result.hosts.size() < request.how_many;
+        result.outcome == Outcome::granted && result.hosts.size() < request.machine_count;
     if (!partly_granted && result.outcome != Outcome::no_capacity) {
         backoffs_.erase(pool);
         return;
--- a/src/state/record_codec.cpp
+++ b/src/state/record_codec.cpp
@@ -174,7 +174,7 @@
     writer.text("shape").text(request.machine_type);
     writer.text("region").text(request.zone);
     writer.text("reclaimable").boolean(request.spot);
-    writer.text("how_many").count(request.how_many);
+    writer.text("how_many").count(request.machine_count);
     if (scale_out.answered) {
         writer.text("hosts").list(scale_out.hosts.size());
         for (const auto& host : scale_out.hosts) writer.text(host.get());
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -70,7 +70,7 @@
     writer.text("shape").text(request.machine_type);
     writer.text("region").text(request.zone);
     writer.text("reclaimable").boolean(request.spot);
-    writer.text("how_many").count(request.how_many);
+    writer.text("how_many").count(request.machine_count);
     return writer.take();
 }
 
--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -42,7 +42,7 @@
     std::string machine_type;
     std::string zone;
     bool spot = false;
-    std::uint64_t how_many = 0;
+    std::uint64_t machine_count = 0;
 };
 
 std::string encode(const ScaleOutRequest& request);
--- a/tests/sim/fake_cloud.cpp
+++ b/tests/sim/fake_cloud.cpp
@@ -73,7 +73,7 @@
     const auto type = std::find_if(types_.begin(), types_.end(),
                                    [&](const auto& t) { return t.name == request.machine_type; });
     if (type == types_.end()) return {400, {}};
-    while (hosts.size() < request.how_many && alive() < most_machines_) {
+    while (hosts.size() < request.machine_count && alive() < most_machines_) {
         Machine m;
         m.row.host = MachineName(fmt::format("vm-{:06}", machines_.size()));
         m.row.endpoint = "worker:" + m.row.host.get();
