--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -57,7 +57,7 @@
         submission.writes.push_back(
             {kv::terminal_key(spec.id), cancellation_record(now_ms), std::nullopt});
     } else if (!prepare_one_record(submission)) {
-        if (spec.waits_on.empty()) return Preparation::too_large;
+        if (spec.dependencies.empty()) return Preparation::too_large;
         // An older leader would not find the parts, and start the tasks early.
         if (format < config::kSplitDependencyFormat) return Preparation::format_not_in_force;
         if (!prepare_parts(submission)) return Preparation::too_many_ancestors;
@@ -84,7 +84,7 @@
     auto parts = encode_parts(submission.record);
     if (!parts) return false;
     auto record = submission.record;
-    record.spec.waits_on.clear();
+    record.spec.dependencies.clear();
     record.ancestors.clear();
     record.dependency_parts = parts->size();
     auto packed = encode(record);
@@ -103,7 +103,7 @@
 // the direct dependencies fit.
 std::optional<std::vector<kv::PackedRecord>> SubmissionRecords::encode_parts(
     const kv::JobRecord& record) const {
-    const auto& named = record.spec.waits_on;
+    const auto& named = record.spec.dependencies;
     std::vector<JobId> direct;
     std::vector<JobId> further;
     for (const auto& id : record.ancestors) {
--- a/src/api/submission_service.cpp
+++ b/src/api/submission_service.cpp
@@ -52,7 +52,7 @@
     const auto& spec = request.submission.record.spec;
     if (auto refusal = refuse_never_runnable(spec, config_, types_)) {
         reject(std::move(request), *std::move(refusal));
-    } else if (spec.waits_on.empty()) {
+    } else if (spec.dependencies.empty()) {
         prepare(std::move(request));
     } else {
         submit_dependent(std::move(request));
@@ -93,7 +93,8 @@
 }
 
 void SubmissionService::look_up_dependencies(JobRequest request) {
-    const auto dependencies = request.submission.record.spec.waits_on;  // `request` is moved from
+    const auto dependencies =
+        request.submission.record.spec.dependencies;  // `request` is moved from
     if (std::find(dependencies.begin(), dependencies.end(), request.job) != dependencies.end()) {
         reject(std::move(request), {RefusalReason::never_runnable, "it waits on itself"});
         return;
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -38,14 +38,14 @@
 }
 
 void DependencyGraph::add(Job& job) {
-    if (job.spec.waits_on.empty() || job.state != JobState::active) return;
+    if (job.spec.dependencies.empty() || job.state != JobState::active) return;
     if (job.has_started()) return;  // all that it needs was done when an earlier leader placed it
-    for (const auto& dependency : job.spec.waits_on) {
+    for (const auto& dependency : job.spec.dependencies) {
         job.dependencies.unmet.insert(dependency);
         dependents_[dependency].push_back(job.spec.id);
     }
     propagate_priority(job);
-    for (const auto& dependency : job.spec.waits_on) {
+    for (const auto& dependency : job.spec.dependencies) {
         const auto* other = find(dependency);
         if (!other || other->state == JobState::terminal) read_end(dependency);
     }
--- a/src/state/record_reading.cpp
+++ b/src/state/record_reading.cpp
@@ -25,7 +25,7 @@
     ++job.dependencies.records_read;
     cluster_state.stored().set(row.key, row.rev);
     if (!part.direct) return;
-    auto& direct = job.spec.waits_on;
+    auto& direct = job.spec.dependencies;
     direct.insert(direct.end(), part.jobs.begin(), part.jobs.end());
 }
 
--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -102,12 +102,12 @@
     decode_task_shape(body, job);
     decode_constraints(body, job);
     decode_times(body, job);
-    if (!body["waits_on"].is_null()) job.waits_on = job_ids(body["waits_on"], "waits_on");
+    if (!body["waits_on"].is_null()) job.dependencies = job_ids(body["waits_on"], "waits_on");
     return job;
 }
 
 void encode_job(Writer& writer, const JobSpec& job) {
-    writer.map(job.waits_on.empty() ? 20 : 21);
+    writer.map(job.dependencies.empty() ? 20 : 21);
     writer.text("name_id").text(job.id.get());
     writer.text("jobclass").text(job.job_class);
     writer.text("owner").text(job.team);
@@ -144,9 +144,9 @@
     } else {
         writer.null();
     }
-    if (job.waits_on.empty()) return;
+    if (job.dependencies.empty()) return;
     writer.text("waits_on");
-    encode_job_ids(writer, job.waits_on);
+    encode_job_ids(writer, job.dependencies);
 }
 
 std::string_view name_of(JobPhase phase) { return to_name(kJobPhases, phase); }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -67,7 +67,7 @@
     JobSpec job = decode(submission({}));
     const auto again = [&](const std::function<void(Writer&)>& list) {
         Writer w;
-        job.waits_on = {JobId("req-000001")};  // the last field, replaced below
+        job.dependencies = {JobId("req-000001")};  // the last field, replaced below
         encode_job(w, job);
         auto packed = w.take();
         Writer one;
@@ -75,9 +75,9 @@
         packed.resize(packed.size() - one.take().size());
         Writer other;
         list(other);
-        return decode(packed + other.take()).waits_on;
+        return decode(packed + other.take()).dependencies;
     };
-    EXPECT_TRUE(job.waits_on.empty());  // absent
+    EXPECT_TRUE(job.dependencies.empty());  // absent
     EXPECT_TRUE(again([](Writer& w) { w.null(); }).empty());
     EXPECT_TRUE(again([](Writer& w) { w.list(0); }).empty());
     const std::vector<JobId> two{JobId("req-000398"), JobId("req-000405")};
@@ -88,10 +88,10 @@
     EXPECT_THROW(again([](Writer& w) { w.text("req-000398"); }), DecodeError);
     EXPECT_THROW(again([](Writer& w) { w.list(1).text("job-1"); }), DecodeError);
     EXPECT_THROW(again([](Writer& w) { w.list(1).count(7); }), DecodeError);
-    job.waits_on = two;
+    job.dependencies = two;
     Writer w;
     encode_job(w, job);
-    EXPECT_EQ(decode(w.take()).waits_on, two);
+    EXPECT_EQ(decode(w.take()).dependencies, two);
 }
 
 TEST(Codec, WholeNumbersMayBeIntegersAndNullsOmitted) {
--- a/tests/dependency_fixtures.hpp
+++ b/tests/dependency_fixtures.hpp
@@ -18,7 +18,7 @@
 /// A small job that may start once the dependencies are done.
 inline wire::JobSpec dependent_job(int n, std::vector<JobId> dependencies) {
     auto spec = job(n);
-    spec.waits_on = std::move(dependencies);
+    spec.dependencies = std::move(dependencies);
     return spec;
 }
 
--- a/tests/sim/fault_injector.cpp
+++ b/tests/sim/fault_injector.cpp
@@ -72,7 +72,7 @@
     const auto id = fmt::format("req-8{:08}", ++invalid_requests_);
     auto spec = user.spec;
     spec.id = JobId(id);
-    spec.waits_on.clear();
+    spec.dependencies.clear();
     const auto post = [&](const std::string& body, std::function<void(const HttpResponse&)> then) {
         controllers_.request(node, Listener::front, "POST", "/v1/jobs", body, std::move(then));
     };
--- a/tests/sim/scenario_jobs.cpp
+++ b/tests/sim/scenario_jobs.cpp
@@ -68,7 +68,7 @@
             s.expected_s = 5;
             s.spot_allowed = true;
             if (stage == 3) s.due_s = 120;
-            s.waits_on = std::move(dependencies);
+            s.dependencies = std::move(dependencies);
             // Some submit the last job only when the others have ended.
             user.submit_at = begin + Millis(stage == 3 && sim_.fault_rng() % 4 == 0 ? 60000 : 0);
             if (sim_.fault_rng() % 8 == 0) {
@@ -130,7 +130,7 @@
 
 void SimulatedUsers::mark_failing_jobs() {
     for (auto& [id, user] : users_) {
-        if (!user.spec.waits_on.empty() ||
+        if (!user.spec.dependencies.empty() ||
             sim_.fault_rng() % 100 >= sim_.options.failing_jobs_percent)
             continue;
         user.failing = true;
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -18,20 +18,21 @@
 }
 
 bool SimulatedUsers::dependencies_accepted(const SimulatedUser& user) const {
-    return std::all_of(user.spec.waits_on.begin(), user.spec.waits_on.end(),
+    return std::all_of(user.spec.dependencies.begin(), user.spec.dependencies.end(),
                        [&](const JobId& id) { return users_.at(id).accepted; });
 }
 
 bool SimulatedUsers::dependencies_done(const SimulatedUser& user) const {
-    return std::all_of(user.spec.waits_on.begin(), user.spec.waits_on.end(), [&](const JobId& id) {
-        const auto& need = users_.at(id);
-        return need.completed.size() == need.spec.task_count;
-    });
+    return std::all_of(user.spec.dependencies.begin(), user.spec.dependencies.end(),
+                       [&](const JobId& id) {
+                           const auto& need = users_.at(id);
+                           return need.completed.size() == need.spec.task_count;
+                       });
 }
 
 Instant SimulatedUsers::ancestor_cancellation_seen_at(const JobId& id) const {
     auto first = Instant::max();
-    for (const auto& need : users_.at(id).spec.waits_on) {
+    for (const auto& need : users_.at(id).spec.dependencies) {
         first = std::min(
             {first, users_.at(need).cancellation_seen_at, ancestor_cancellation_seen_at(need)});
     }
@@ -39,7 +40,7 @@
 }
 
 bool SimulatedUsers::ancestor_cancel_requested(const JobId& id) const {
-    const auto& dependencies = users_.at(id).spec.waits_on;
+    const auto& dependencies = users_.at(id).spec.dependencies;
     return std::any_of(dependencies.begin(), dependencies.end(), [&](const JobId& need) {
         return users_.at(need).cancel_requested || ancestor_cancel_requested(need);
     });
--- a/tests/transactions_test.cpp
+++ b/tests/transactions_test.cpp
@@ -30,7 +30,7 @@
     s.run(Millis(3000));
     const auto first = job(1);
     auto second = job(2);
-    second.waits_on = {first.id};
+    second.dependencies = {first.id};
     ASSERT_EQ(s.submit(first), 201);
     ASSERT_EQ(s.submit(second), 201);
     auto w = ready_machine(s, 0);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -181,10 +181,10 @@
     harness.run(Millis(3000));
     ASSERT_EQ(harness.submit(job(1, 3)), 201);
     auto second = job(2);
-    second.waits_on = {job(1).id};
+    second.dependencies = {job(1).id};
     ASSERT_EQ(harness.submit(second), 201);
     auto third = job(3);
-    third.waits_on = {job(2).id};
+    third.dependencies = {job(2).id};
     ASSERT_EQ(harness.submit(third), 201);
     begin_tasks_and_end_first(harness);
     ASSERT_EQ(harness.request("POST", "/v1/jobs/req-000003/abort", {}).status, 200);
