--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -60,7 +60,8 @@
     if (!machine.worker.preemption_at && !machine.worker.cordoned) return;
     for (auto& [key, placement] : machine.placements) {
         const auto& spec = placement.job->spec;
-        const double checkpoint_s = spec.checkpoint_every_s > 0 ? spec.checkpoint_s : 0.0;
+        const double checkpoint_s =
+            spec.checkpoint_interval_s > 0 ? spec.checkpoint_duration_s : 0.0;
         const auto saved_at = context_.now() + from_seconds(checkpoint_s) + kCheckpointMargin;
         const bool last_chance = machine.worker.preemption_at && checkpoint_s > 0 &&
                                  saved_at >= *machine.worker.preemption_at;
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -144,8 +144,9 @@
     if (pending.within_guarantee) within_s = std::min(within_s, guarantee_s_.value_or(within_s));
     // A start counts once the image is there, and users' estimates are often wrong by half.
     const double fetch_s = job.spec.image_gb / kImageFetchRate_gb_per_s;
-    const double run_s = std::max(run_time_estimator_.expected_s(job), job.spec.expected_s) *
-                         state::kRunTimeUncertainty;
+    const double run_s =
+        std::max(run_time_estimator_.expected_s(job), job.spec.expected_run_time_s) *
+        state::kRunTimeUncertainty;
     const auto wait_s = std::max(0.0, within_s - fetch_s - kPreemptionDelay_s);
     const auto latest = job.dependencies.runnable_since + from_seconds(wait_s);
     if (job.dependencies.latest_end == Instant::max()) return latest;
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -14,8 +14,8 @@
 
 // The time that a preempted task is given to save a checkpoint; none if it saves none.
 double checkpoint_grace(const Job& job) {
-    const bool saves_checkpoints = job.spec.checkpoint_every_s > 0;
-    return double(saves_checkpoints ? job.spec.checkpoint_s + kCheckpointMargin_s : 0);
+    const bool saves_checkpoints = job.spec.checkpoint_interval_s > 0;
+    return double(saves_checkpoints ? job.spec.checkpoint_duration_s + kCheckpointMargin_s : 0);
 }
 
 }  // namespace
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -63,8 +63,8 @@
     const auto age = std::max<std::int64_t>(0, context_.wall_ms() - record.submitted_ms);
     job.submitted_at = job.dependencies.runnable_since = context_.now() - Millis(age);
     job.dependencies.effective_priority = job.spec.priority;
-    if (job.spec.due_s)
-        job.dependencies.latest_end = job.submitted_at + from_seconds(*job.spec.due_s);
+    if (job.spec.deadline_s)
+        job.dependencies.latest_end = job.submitted_at + from_seconds(*job.spec.deadline_s);
     job.tasks.resize(job.spec.task_count);
     job.pending_tasks.resize(job.spec.task_count);
     for (std::uint32_t i = 0; i < job.spec.task_count; ++i)
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -118,7 +118,8 @@
         reached.pop_back();
         auto latest_end = job.dependencies.latest_end;
         if (latest_end != Instant::max()) {
-            latest_end -= from_seconds(job.spec.expected_s * kRunTimeUncertainty) + kHandover;
+            latest_end -=
+                from_seconds(job.spec.expected_run_time_s * kRunTimeUncertainty) + kHandover;
         }
         for (const auto& dependency : job.dependencies.unmet) {
             Job* other = find(dependency);
--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -54,10 +54,10 @@
 }
 
 void decode_times(Value body, JobSpec& job) {
-    job.expected_s = need_amount(body["expected_s"], "expected_s");
-    job.checkpoint_every_s = need_amount(body["snapshot_every_s"], "snapshot_every_s");
-    job.checkpoint_s = need_amount(body["snapshot_s"], "snapshot_s");
-    if (!body["due_s"].is_null()) job.due_s = need_amount(body["due_s"], "due_s");
+    job.expected_run_time_s = need_amount(body["expected_s"], "expected_s");
+    job.checkpoint_interval_s = need_amount(body["snapshot_every_s"], "snapshot_every_s");
+    job.checkpoint_duration_s = need_amount(body["snapshot_s"], "snapshot_s");
+    if (!body["due_s"].is_null()) job.deadline_s = need_amount(body["due_s"], "due_s");
 }
 
 }  // namespace
@@ -135,12 +135,12 @@
     writer.text("together").boolean(job.together);
     writer.text("apart").boolean(job.apart);
     writer.text("reclaimable").boolean(job.spot_allowed);
-    writer.text("expected_s").number(job.expected_s);
-    writer.text("snapshot_every_s").number(job.checkpoint_every_s);
-    writer.text("snapshot_s").number(job.checkpoint_s);
+    writer.text("expected_s").number(job.expected_run_time_s);
+    writer.text("snapshot_every_s").number(job.checkpoint_interval_s);
+    writer.text("snapshot_s").number(job.checkpoint_duration_s);
     writer.text("due_s");
-    if (job.due_s) {
-        writer.number(*job.due_s);
+    if (job.deadline_s) {
+        writer.number(*job.deadline_s);
     } else {
         writer.null();
     }
--- a/src/wire/job_messages.hpp
+++ b/src/wire/job_messages.hpp
@@ -33,11 +33,11 @@
     bool spot_allowed = false;
     std::string image;
     double image_gb = 0;
-    double expected_s = 0;            ///< the owner's estimate of a task's run time
-    double checkpoint_every_s = 0;    ///< 0: tasks take no checkpoints
-    double checkpoint_s = 0;          ///< time that one checkpoint takes
-    std::optional<double> due_s;      ///< deadline, from the submission
-    std::vector<JobId> dependencies;  ///< jobs that must be done before any of its tasks starts
+    double expected_run_time_s = 0;    ///< the owner's estimate of a task's run time
+    double checkpoint_interval_s = 0;  ///< 0: tasks take no checkpoints
+    double checkpoint_duration_s = 0;  ///< time that one checkpoint takes
+    std::optional<double> deadline_s;  ///< deadline, from the submission
+    std::vector<JobId> dependencies;   ///< jobs that must be done before any of its tasks starts
 };
 
 /// The id alone, if the body is a map with a valid one: a repeated submission is answered by it.
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -60,7 +60,7 @@
     EXPECT_EQ(job.machine_types->at(0), "g8");
     EXPECT_FALSE(job.zone);
     EXPECT_TRUE(job.together);
-    EXPECT_DOUBLE_EQ(job.due_s.value(), 900);
+    EXPECT_DOUBLE_EQ(job.deadline_s.value(), 900);
 }
 
 TEST(Codec, JobsThatASubmissionWaitsOn) {
@@ -134,8 +134,8 @@
     const auto again = decode(w.take());
     EXPECT_EQ(again.id, job.id);
     EXPECT_EQ(again.machine_types, job.machine_types);
-    EXPECT_EQ(again.due_s, job.due_s);
-    EXPECT_DOUBLE_EQ(again.checkpoint_every_s, job.checkpoint_every_s);
+    EXPECT_EQ(again.deadline_s, job.deadline_s);
+    EXPECT_DOUBLE_EQ(again.checkpoint_interval_s, job.checkpoint_interval_s);
 }
 
 // The bytes of {"token":41,"orders":[{"verb":"stop","shard":"req-1/1","try":1,"grace_s":10}]}.
--- a/tests/command_delivery_test.cpp
+++ b/tests/command_delivery_test.cpp
@@ -120,7 +120,7 @@
     s.run(Millis(3000));
     auto big = job(1, 2);
     big.cores = 10;  // one machine each
-    big.expected_s = 200;
+    big.expected_run_time_s = 200;
     ASSERT_EQ(s.submit(big), 201);
     auto w = s.machine(0);
     auto other = ready_machine(s, 1);
--- a/tests/dependency_graph_test.cpp
+++ b/tests/dependency_graph_test.cpp
@@ -48,7 +48,8 @@
     auto& other = add(9, wire::Priority::idle);
     const auto& last = add(4, wire::Priority::urgent, {left.spec.id, right.spec.id}, due);
     const auto before = [](const state::Job& job) {
-        return job.dependencies.latest_end - from_seconds(job.spec.expected_s * 1.5) - Millis(2000);
+        return job.dependencies.latest_end - from_seconds(job.spec.expected_run_time_s * 1.5) -
+               Millis(2000);
     };
     EXPECT_EQ(left.dependencies.effective_priority, wire::Priority::urgent);
     EXPECT_EQ(left.dependencies.latest_end, before(last));
--- a/tests/sim/controller_harness.cpp
+++ b/tests/sim/controller_harness.cpp
@@ -22,7 +22,7 @@
     s.ram_gb = 1;
     s.image = "img";
     s.image_gb = 1;
-    s.expected_s = 10;
+    s.expected_run_time_s = 10;
     s.spot_allowed = true;
     return s;
 }
--- a/tests/sim/fake_worker.cpp
+++ b/tests/sim/fake_worker.cpp
@@ -214,10 +214,10 @@
     }
     if (t.phase == TaskPhase::exited) return;
     const auto* job = world_.description(o.task.job);
-    const bool saves = job->checkpoint_every_s > 0 && o.grace_s >= job->checkpoint_s;
+    const bool saves = job->checkpoint_interval_s > 0 && o.grace_s >= job->checkpoint_duration_s;
     if (saves && t.phase == TaskPhase::running) {
         t.phase = TaskPhase::saving;
-        t.next = clock_.now() + from_seconds(job->checkpoint_s);
+        t.next = clock_.now() + from_seconds(job->checkpoint_duration_s);
     } else if (t.phase != TaskPhase::saving || o.grace_s == 0) {
         t.phase = TaskPhase::exited;
         t.reason = ExitReason::stopped;
--- a/tests/sim/scenario_jobs.cpp
+++ b/tests/sim/scenario_jobs.cpp
@@ -19,18 +19,18 @@
         s.ram_gb = 2;
         s.image = "img-" + std::to_string(sim_.rng() % 3);
         s.image_gb = 1;
-        s.expected_s = s.job_class == "short" ? 6 : 25;
-        if (sim_.options.task_s > 0) s.expected_s = sim_.options.task_s;
+        s.expected_run_time_s = s.job_class == "short" ? 6 : 25;
+        if (sim_.options.task_s > 0) s.expected_run_time_s = sim_.options.task_s;
         s.spot_allowed = sim_.rng() % 4 != 0;
         s.together = sim_.rng() % 6 == 0;
         s.apart = !s.together && sim_.rng() % 6 == 0;
         if (sim_.rng() % 6 == 0) s.machine_types = std::vector<std::string>{"big"};
         if (sim_.rng() % 6 == 0 && !s.apart) s.zone = sim_.rng() % 2 ? "a" : "b";
         if (sim_.rng() % 3 == 0) {
-            s.checkpoint_every_s = 5;
-            s.checkpoint_s = 2;
+            s.checkpoint_interval_s = 5;
+            s.checkpoint_duration_s = 2;
         }
-        if (sim_.rng() % 2 == 0) s.due_s = 60;
+        if (sim_.rng() % 2 == 0) s.deadline_s = 60;
         const auto span = static_cast<std::uint64_t>(sim_.options.faults_s * 800);
         user.submit_at = sim_.clock.now() + Millis(static_cast<std::int64_t>(sim_.rng() % span));
         if (sim_.rng() % 4 == 0) {
@@ -65,9 +65,9 @@
             s.ram_gb = 1;
             s.image = "img-0";
             s.image_gb = 1;
-            s.expected_s = 5;
+            s.expected_run_time_s = 5;
             s.spot_allowed = true;
-            if (stage == 3) s.due_s = 120;
+            if (stage == 3) s.deadline_s = 120;
             s.dependencies = std::move(dependencies);
             // Some submit the last job only when the others have ended.
             user.submit_at = begin + Millis(stage == 3 && sim_.fault_rng() % 4 == 0 ? 60000 : 0);
@@ -114,18 +114,18 @@
     const auto begin = sim_.clock.now() + from_seconds(sim_.options.faults_s / 3);
     auto& giant = add(0, begin, "giant");
     giant.task_count = giant_tasks;
-    giant.expected_s = 4;
+    giant.expected_run_time_s = 4;
     for (int n = 1; n <= swarm_jobs; ++n) {
         auto& tiny = add(n, begin + Millis(250 * n), "swarm");
         tiny.task_count = 1;
-        tiny.expected_s = 8;
+        tiny.expected_run_time_s = 8;
     }
     auto& backfill = add(swarm_jobs + 1, sim_.clock.now() + Millis(3000), "backfill");
     backfill.task_count = 40;
     backfill.cores = 1;
-    backfill.expected_s = 30;
-    backfill.checkpoint_every_s = 5;
-    backfill.checkpoint_s = 1;
+    backfill.expected_run_time_s = 30;
+    backfill.checkpoint_interval_s = 5;
+    backfill.checkpoint_duration_s = 1;
 }
 
 void SimulatedUsers::mark_failing_jobs() {
@@ -159,8 +159,8 @@
         small.task_count = 12;
         small.cores = 1;
         small.ram_gb = 1;
-        small.expected_s = 12;
-        small.due_s = 60;
+        small.expected_run_time_s = 12;
+        small.deadline_s = 60;
     }
     auto& large = add(0, sim_.clock.now() + Millis(30000));
     large.job_class = "long";
@@ -168,7 +168,7 @@
     large.task_count = 20;
     large.cores = 14;
     large.ram_gb = 20;
-    large.expected_s = 10;
+    large.expected_run_time_s = 10;
     for (auto& [id, user] : users_) schedule(user);
 }
 
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -191,8 +191,8 @@
 Millis SimulatedUsers::run_time(const TaskRef& task) {
     const auto& user = users_.at(task.job);
     if (user.completed.contains(task.index)) return Millis(0);
-    return from_seconds(user.spec.expected_s) * (50 + static_cast<std::int64_t>(sim_.rng() % 100)) /
-           100;
+    return from_seconds(user.spec.expected_run_time_s) *
+           (50 + static_cast<std::int64_t>(sim_.rng() % 100)) / 100;
 }
 
 void SimulatedUsers::task_completed(const TaskRef& task) {
