--- a/src/scheduler/task_constraints.cpp
+++ b/src/scheduler/task_constraints.cpp
@@ -39,7 +39,7 @@
             spec.spot_allowed, spec.zone,         spec.machine_types};
 }
 
-bool has_zone_constraint(const Job& job) { return job.spec.together || job.spec.apart; }
+bool has_zone_constraint(const Job& job) { return job.spec.single_zone || job.spec.spread_zones; }
 
 bool is_eligible(const Job& job, const Machine& machine) {
     const auto& spec = job.spec;
@@ -48,8 +48,8 @@
         return false;
     if (spec.zone && *spec.zone != machine.zone) return false;
     if (!has_allowed_type(job, machine)) return false;
-    if (spec.together && !keeps_together(job, machine)) return false;
-    return !spec.apart || keeps_apart(job, machine);
+    if (spec.single_zone && !keeps_together(job, machine)) return false;
+    return !spec.spread_zones || keeps_apart(job, machine);
 }
 
 }  // namespace dunebridge::scheduler
--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -48,8 +48,8 @@
 void decode_constraints(Value body, JobSpec& job) {
     if (!body["shapes"].is_null()) job.machine_types = text_list(body["shapes"], "shapes");
     if (!body["region"].is_null()) job.zone = body["region"].need_text("region");
-    job.together = body["together"].need_bool("together");
-    job.apart = body["apart"].need_bool("apart");
+    job.single_zone = body["together"].need_bool("together");
+    job.spread_zones = body["apart"].need_bool("apart");
     job.spot_allowed = body["reclaimable"].need_bool("reclaimable");
 }
 
@@ -132,8 +132,8 @@
     } else {
         writer.null();
     }
-    writer.text("together").boolean(job.together);
-    writer.text("apart").boolean(job.apart);
+    writer.text("together").boolean(job.single_zone);
+    writer.text("apart").boolean(job.spread_zones);
     writer.text("reclaimable").boolean(job.spot_allowed);
     writer.text("expected_s").number(job.expected_run_time_s);
     writer.text("snapshot_every_s").number(job.checkpoint_interval_s);
--- a/src/wire/job_messages.hpp
+++ b/src/wire/job_messages.hpp
@@ -28,8 +28,8 @@
     double ram_gb = 0;
     std::optional<std::vector<std::string>> machine_types;  ///< absent: any
     std::optional<std::string> zone;                        ///< absent: any
-    bool together = false;                                  ///< all tasks in one zone
-    bool apart = false;  ///< at most half of the tasks, rounded up, in one zone
+    bool single_zone = false;                               ///< all tasks in one zone
+    bool spread_zones = false;  ///< at most half of the tasks, rounded up, in one zone
     bool spot_allowed = false;
     std::string image;
     double image_gb = 0;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -59,7 +59,7 @@
     ASSERT_TRUE(job.machine_types);
     EXPECT_EQ(job.machine_types->at(0), "g8");
     EXPECT_FALSE(job.zone);
-    EXPECT_TRUE(job.together);
+    EXPECT_TRUE(job.single_zone);
     EXPECT_DOUBLE_EQ(job.deadline_s.value(), 900);
 }
 
--- a/tests/sim/invariant_checker.cpp
+++ b/tests/sim/invariant_checker.cpp
@@ -54,17 +54,17 @@
 
 void InvariantChecker::check_zones(const FakeWorker& worker, const TaskRef& task) {
     const auto& spec = users_.at(task.job).spec;
-    if (!spec.together && !spec.apart) return;
+    if (!spec.single_zone && !spec.spread_zones) return;
     std::map<std::string, std::uint32_t> zones;
     for (const auto& host : started_on_[task.job]) {
         auto& other = *workers_.at(host);
         const auto tasks = other.present_of(task.job, task);
         if (tasks > 0) zones[other.zone()] += tasks;
     }
-    if (spec.together && !zones.empty() && !zones.contains(worker.zone())) {
+    if (spec.single_zone && !zones.empty() && !zones.contains(worker.zone())) {
         sim_.violated("placement_constraint", task.str() + " away from its job's zone");
     }
-    if (spec.apart && zones[worker.zone()] + 1 > (spec.task_count + 1) / 2) {
+    if (spec.spread_zones && zones[worker.zone()] + 1 > (spec.task_count + 1) / 2) {
         sim_.violated("placement_constraint", task.str() + " too many in one zone");
     }
 }
--- a/tests/sim/scenario_jobs.cpp
+++ b/tests/sim/scenario_jobs.cpp
@@ -22,10 +22,10 @@
         s.expected_run_time_s = s.job_class == "short" ? 6 : 25;
         if (sim_.options.task_s > 0) s.expected_run_time_s = sim_.options.task_s;
         s.spot_allowed = sim_.rng() % 4 != 0;
-        s.together = sim_.rng() % 6 == 0;
-        s.apart = !s.together && sim_.rng() % 6 == 0;
+        s.single_zone = sim_.rng() % 6 == 0;
+        s.spread_zones = !s.single_zone && sim_.rng() % 6 == 0;
         if (sim_.rng() % 6 == 0) s.machine_types = std::vector<std::string>{"big"};
-        if (sim_.rng() % 6 == 0 && !s.apart) s.zone = sim_.rng() % 2 ? "a" : "b";
+        if (sim_.rng() % 6 == 0 && !s.spread_zones) s.zone = sim_.rng() % 2 ? "a" : "b";
         if (sim_.rng() % 3 == 0) {
             s.checkpoint_interval_s = 5;
             s.checkpoint_duration_s = 2;
--- a/tests/sim/simulated_users.cpp
+++ b/tests/sim/simulated_users.cpp
@@ -219,7 +219,7 @@
         if (user.terminal_phase) continue;
         out += fmt::format("{} accepted={} completed={}/{} cores={} apart={} together={}\n",
                            id.get(), user.accepted, user.completed.size(), user.spec.task_count,
-                           user.spec.cores, user.spec.apart, user.spec.together);
+                           user.spec.cores, user.spec.spread_zones, user.spec.single_zone);
     }
     return out;
 }
--- a/tests/sim/starvation_checker.cpp
+++ b/tests/sim/starvation_checker.cpp
@@ -42,8 +42,8 @@
                                             w.machine_type()) == spec.machine_types->end()) {
             return false;
         }
-        if (spec.together && !zones.empty() && !zones.contains(w.zone())) return false;
-        if (spec.apart && zones.contains(w.zone()) &&
+        if (spec.single_zone && !zones.empty() && !zones.contains(w.zone())) return false;
+        if (spec.spread_zones && zones.contains(w.zone()) &&
             zones[w.zone()] + 1 > (spec.task_count + 1) / 2) {
             return false;
         }
