--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -224,7 +224,7 @@
     bool keep = true;
     while (keep) {
         http::request_parser<http::string_body> parser;
-        parser.body_limit(wire::kMaxBody);
+        parser.body_limit(wire::kMaxBodyBytes);
         parser.header_limit(kHeaderLimit);
         error_code ec;
         co_await http::async_read(session->socket, buffer, parser,
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -13,7 +13,7 @@
 namespace dunebridge::wire {
 
 /// The largest body of a request that is accepted, in bytes.
-inline constexpr std::size_t kMaxBody = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
 
 /// A view of one decoded value, valid as long as its Document. An absent or null value is a view of
 /// nil.
--- a/tests/many_ancestors_test.cpp
+++ b/tests/many_ancestors_test.cpp
@@ -123,8 +123,8 @@
     s.run(kSettled);
     wire::Writer w;
     wire::encode_job(w, dependent_job(1, many));
-    ASSERT_LT(w.json_size(), wire::kMaxBody);
-    ASSERT_GT(w.json_size(), wire::kMaxBody * 9 / 10);
+    ASSERT_LT(w.json_size(), wire::kMaxBodyBytes);
+    ASSERT_GT(w.json_size(), wire::kMaxBodyBytes * 9 / 10);
     EXPECT_EQ(s.request("POST", "/v1/jobs", w.take()).status, 201);
     s.run(kSettled);
     EXPECT_EQ(s.phase(job(1).id), "pending");
--- a/tests/sim/fake_kv_store.cpp
+++ b/tests/sim/fake_kv_store.cpp
@@ -203,7 +203,7 @@
 bool FakeKvStore::exceeds_limits(const std::string& body, wire::Value preconditions,
                                  wire::Value writes) const {
     if (writes.size() > limits_.txn_ops || preconditions.size() > 4 * limits_.txn_ops) return true;
-    if (json_size(body) > wire::kMaxBody) return true;
+    if (json_size(body) > wire::kMaxBodyBytes) return true;
     for (std::size_t i = 0; i < writes.size(); ++i) {
         const auto value = writes.at(i)["value"];
         if (!value.is_null() && json_size(value.pack()) > limits_.value_bytes) return true;
