--- a/src/api/submission_service.cpp
+++ b/src/api/submission_service.cpp
@@ -78,7 +78,7 @@
 }
 
 void SubmissionService::read_record_format(JobRequest request) {
-    kv_client_.get(kv::kFormatMark, kReadTimeout,
+    kv_client_.get(kv::kFormatMarkerKey, kReadTimeout,
                    [this, request = std::move(request)](const kv::GetResult& result) mutable {
                        if (result.available && result.entry) {
                            record_format_ =
--- a/src/kv/keys.hpp
+++ b/src/kv/keys.hpp
@@ -21,7 +21,7 @@
 inline constexpr const char* kDependencyPrefix = "dep/";
 /// Marks that there may be records of the newer format. It sorts before every other scale-out
 /// record, and a version that does not know it fails to decode it and stops loading there.
-inline constexpr const char* kFormatMark = "rent/!format";
+inline constexpr const char* kFormatMarkerKey = "rent/!format";
 
 /// The rest of a key that begins with the prefix.
 inline std::string without_prefix(const std::string& key, std::string_view prefix) {
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -371,7 +371,7 @@
     if (format <= format_ || !loaded_) return;
     format_ = format;
     context_.log(sansio::LogLevel::info, "event=record_format_adopted version={}", format);
-    dirty_.mark(kv::kFormatMark, CommitUrgency::terminal);
+    dirty_.mark(kv::kFormatMarkerKey, CommitUrgency::terminal);
 }
 
 }  // namespace dunebridge::state
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -90,7 +90,7 @@
 }
 
 void ClusterStateLoader::apply_scale_out(const kv::Entry& row) {
-    if (row.key == kv::kFormatMark && config_.newest_record_format >= config::kRangeFormat) {
+    if (row.key == kv::kFormatMarkerKey && config_.newest_record_format >= config::kRangeFormat) {
         state_.restore_format(decode_format_mark(row.value, config_.newest_record_format));
     } else {
         state_.restore_scale_out(decode_scale_out_record(row.value));
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -55,7 +55,7 @@
 // The value of a record other than progress; none if it is to be removed.
 std::optional<kv::PackedRecord> TransactionBuilder::encode_value(const std::string& key) const {
     // Its key begins with the prefix of scale-outs: it has to be looked for first.
-    if (key == kv::kFormatMark) {
+    if (key == kv::kFormatMarkerKey) {
         if (state_.format() < config::kRangeFormat) return std::nullopt;
         return encode_format_mark(state_.format());
     }
--- a/tests/dependency_test.cpp
+++ b/tests/dependency_test.cpp
@@ -49,7 +49,7 @@
     const auto answer = s.request("POST", "/v1/jobs", w.take());
     EXPECT_EQ(answer.status, 503);
     EXPECT_GT(answer.retry_after.count(), 0);
-    EXPECT_EQ(s.state().value(kv::kFormatMark), "");
+    EXPECT_EQ(s.state().value(kv::kFormatMarkerKey), "");
     EXPECT_EQ(s.state().value(kv::job_key(job(2).id)), "");
 }
 
--- a/tests/many_ancestors_test.cpp
+++ b/tests/many_ancestors_test.cpp
@@ -151,7 +151,7 @@
     auto config = ControllerHarness::config();
     config.newest_record_format = config::kRangeFormat;
     ControllerHarness s(1, config);
-    s.write(kv::kFormatMark,
+    s.write(kv::kFormatMarkerKey,
             wire::Writer().map(1).text("v").count(config::kSplitDependencyFormat).take());
     s.run(Millis(8000));
     EXPECT_FALSE(s.leads());
--- a/tests/sim/simulated_cluster.cpp
+++ b/tests/sim/simulated_cluster.cpp
@@ -111,7 +111,7 @@
 }
 
 std::uint64_t SimulatedCluster::record_format() const {
-    const auto mark = wire::Document::parse(kv_store_.value(kv::kFormatMark));
+    const auto mark = wire::Document::parse(kv_store_.value(kv::kFormatMarkerKey));
     return mark ? mark->root()["v"].need_count("v") : config::kChunkFormat;
 }
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -254,7 +254,7 @@
     auto config = ControllerHarness::config();
     config.newest_record_format = 2;
     ControllerHarness harness(1, config);
-    harness.write(kv::kFormatMark, wire::Writer().map(1).text("v").count(3).take());
+    harness.write(kv::kFormatMarkerKey, wire::Writer().map(1).text("v").count(3).take());
     for (const auto& [key, hex] : kProduction) harness.write(key, bytes(hex));
     harness.run(Millis(8000));
     EXPECT_FALSE(harness.leads());
