--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -14,7 +14,7 @@
 namespace {
 // A watch whose response was lost is requested again soon after it should have ended, as
 // cancellations and submissions are learnt from watches.
-constexpr Millis kWatchSlack{2000};
+constexpr Millis kWatchTimeoutMargin{2000};
 constexpr Millis kLeaseTimeout{2500};
 constexpr Millis kRenewalTimeout{1000};
 
@@ -55,7 +55,7 @@
 void KvClient::watch(const std::string& prefix, KeyRevision from, Millis wait, OnWatch then) {
     auto target = "/watch?starts=" + prefix + "&from=" + std::to_string(from.get()) +
                   "&wait_ms=" + std::to_string(wait.count());
-    connection_.long_poll(std::move(target), wait + kWatchSlack,
+    connection_.long_poll(std::move(target), wait + kWatchTimeoutMargin,
                           [then = std::move(then)](const HttpResult& response) {
                               then(decode_watch_result(response));
                           });
--- a/src/kv/connection.cpp
+++ b/src/kv/connection.cpp
@@ -8,7 +8,7 @@
 using sansio::HttpResult;
 
 namespace {
-constexpr Millis kProbeAfter{800};
+constexpr Millis kProbeIdleTime{800};
 constexpr Millis kProbeTimeout{700};
 // A small key that exists as soon as there has been a leader; whether it does makes no difference.
 constexpr const char* kProbeTarget = "/kv/term";
@@ -48,7 +48,7 @@
 
 void KvConnection::probe_if_idle() {
     if (probing_) return;
-    const auto due = last_result_at_ + kProbeAfter;
+    const auto due = last_result_at_ + kProbeIdleTime;
     if (context_.now() < due) {
         context_.request_wake(due);
         return;
--- a/src/kv/multi_get.cpp
+++ b/src/kv/multi_get.cpp
@@ -21,9 +21,9 @@
 
 void MultiGet::start(KvConnection& connection, std::string prefix, std::vector<std::string> names,
                      Millis timeout, OnRead on_read) {
-    const std::shared_ptr<MultiGet> read(
+    const std::shared_ptr<MultiGet> operation(
         new MultiGet(connection, std::move(prefix), std::move(names), timeout, std::move(on_read)));
-    read->request_next();
+    operation->request_next();
 }
 
 void MultiGet::request_next() {
@@ -40,13 +40,13 @@
 void MultiGet::request_page() {
     // A listing begins after the key that it is given. This one sorts before the next wanted key,
     // whose last character is a digit, and after every key that ends in a smaller one.
-    auto before = next_key();
-    before.back() = static_cast<char>(before.back() - 1);
-    before += '~';
+    auto start_after = next_key();
+    start_after.back() = static_cast<char>(start_after.back() - 1);
+    start_after += '~';
     // Twice as much as is wanted, as other keys may lie between.
     const auto page_size = std::min(kMaxListPageSize, 2 * remaining());
     auto target =
-        "/kv?starts=" + prefix_ + "&page=" + std::to_string(page_size) + "&from=" + before;
+        "/kv?starts=" + prefix_ + "&page=" + std::to_string(page_size) + "&from=" + start_after;
     connection_.call(
         "GET", std::move(target), {}, timeout_,
         [self = shared_from_this()](const HttpResult& response) { self->handle_page(response); });
--- a/src/kv/paged_list.cpp
+++ b/src/kv/paged_list.cpp
@@ -14,7 +14,7 @@
 constexpr int kTooManyRequests = 429;
 // A page that was refused for the request rate is requested again, up to this often in one listing.
 constexpr Millis kRetryDelay{100};
-constexpr int kMaxRefusals = 50;
+constexpr int kMaxThrottledResponses = 50;
 }  // namespace
 
 PagedList::PagedList(KvConnection& connection, std::string prefix, OnListed on_listed)
@@ -36,7 +36,7 @@
 
 void PagedList::handle_page(const HttpResult& response) {
     // Over the request rate: the pages read so far are as good as before.
-    if (response.status == kTooManyRequests && ++refusals_ <= kMaxRefusals) {
+    if (response.status == kTooManyRequests && ++throttled_responses_ <= kMaxThrottledResponses) {
         auto& context = connection_.context();
         context.after(kRetryDelay + context.jitter(kRetryDelay),
                       [self = shared_from_this()] { self->request_page(); });
--- a/src/kv/paged_list.hpp
+++ b/src/kv/paged_list.hpp
@@ -29,8 +29,8 @@
     KvConnection& connection_;
     std::string prefix_;
     OnListed on_listed_;
-    std::string last_key_;  ///< The next page begins after this key; empty: from the start.
-    int refusals_ = 0;      ///< How often a page was refused for the request rate.
+    std::string last_key_;         ///< The next page begins after this key; empty: from the start.
+    int throttled_responses_ = 0;  ///< How often a page was refused for the request rate.
     ListResult result_;
 };
 
--- a/src/kv/records.cpp
+++ b/src/kv/records.cpp
@@ -11,13 +11,13 @@
 
 constexpr char kSeparator = ',';
 // The most bytes of JSON around the list of a dependency part.
-constexpr std::size_t kPartOverhead = 64;
+constexpr std::size_t kMaxPartOverheadBytes = 64;
 
-PackedRecord packed(Writer& writer) { return {writer.take(), writer.json_size()}; }
+PackedRecord to_packed_record(Writer& writer) { return {writer.take(), writer.json_size()}; }
 
 // The digits in which an id differs from the one before it, if both are of the same length; the
 // whole id otherwise. Sorted ids share most of their digits.
-std::string_view difference(const JobId& id, const JobId* previous) {
+std::string_view encode_delta(const JobId& id, const JobId* previous) {
     const std::string_view text = id.get();
     if (!previous || previous->get().size() != text.size()) return text;
     const auto [at, end] = std::mismatch(text.begin(), text.end(), previous->get().begin());
@@ -27,10 +27,10 @@
 PackedRecord encode_part(std::string_view list, bool direct) {
     Writer writer;
     writer.map(2).text("direct").boolean(direct).text("jobs").text(list);
-    return packed(writer);
+    return to_packed_record(writer);
 }
 
-JobId decode_difference(std::string_view text, const std::vector<JobId>& before) {
+JobId decode_delta(std::string_view text, const std::vector<JobId>& before) {
     if (text.empty()) throw wire::DecodeError("jobs");
     std::string id(text);
     if (!before.empty() && !text.starts_with("req-")) {
@@ -44,21 +44,21 @@
 
 }  // namespace
 
-PackedRecord encode(const TerminalRecord& end) {
+PackedRecord encode(const TerminalRecord& record) {
     Writer writer;
-    writer.map(end.task_count ? 3 : 2).text("phase").text(wire::name_of(end.phase));
-    if (end.task_count) writer.text("shards").count(*end.task_count);
-    writer.text("at").count(static_cast<std::uint64_t>(end.ended_ms));
-    return packed(writer);
+    writer.map(record.task_count ? 3 : 2).text("phase").text(wire::name_of(record.phase));
+    if (record.task_count) writer.text("shards").count(*record.task_count);
+    writer.text("at").count(static_cast<std::uint64_t>(record.ended_ms));
+    return to_packed_record(writer);
 }
 
 TerminalRecord decode_terminal_record(wire::Value value) {
-    TerminalRecord end;
+    TerminalRecord record;
     const bool done = value["phase"].text() == wire::name_of(wire::JobPhase::done);
-    end.phase = done ? wire::JobPhase::done : wire::JobPhase::cancelled;
-    end.task_count = value["shards"].count();
-    end.ended_ms = static_cast<std::int64_t>(value["at"].count().value_or(0));
-    return end;
+    record.phase = done ? wire::JobPhase::done : wire::JobPhase::cancelled;
+    record.task_count = value["shards"].count();
+    record.ended_ms = static_cast<std::int64_t>(value["at"].count().value_or(0));
+    return record;
 }
 
 JobRecord decode_job_record(wire::Value value) {
@@ -70,18 +70,19 @@
     return job;
 }
 
-PackedRecord encode(const JobRecord& job) {
+PackedRecord encode(const JobRecord& record) {
     Writer writer;
-    const std::size_t fields = 2 + (job.ancestors.empty() ? 0 : 1) + (job.dependency_parts ? 1 : 0);
-    writer.map(fields).text("at").count(static_cast<std::uint64_t>(job.submitted_ms));
-    if (!job.ancestors.empty()) {
+    const std::size_t fields =
+        2 + (record.ancestors.empty() ? 0 : 1) + (record.dependency_parts ? 1 : 0);
+    writer.map(fields).text("at").count(static_cast<std::uint64_t>(record.submitted_ms));
+    if (!record.ancestors.empty()) {
         writer.text("before");
-        wire::encode_job_ids(writer, job.ancestors);
+        wire::encode_job_ids(writer, record.ancestors);
     }
-    if (job.dependency_parts > 0) writer.text("parts").count(job.dependency_parts);
+    if (record.dependency_parts > 0) writer.text("parts").count(record.dependency_parts);
     writer.text("spec");
-    wire::encode_job(writer, job.spec);
-    return packed(writer);
+    wire::encode_job(writer, record.spec);
+    return to_packed_record(writer);
 }
 
 DependencyPart decode_dependency_part(wire::Value value) {
@@ -91,7 +92,7 @@
     std::string_view list = text;
     while (!list.empty()) {
         const auto end = std::min(list.find(kSeparator), list.size());
-        part.jobs.push_back(decode_difference(list.substr(0, end), part.jobs));
+        part.jobs.push_back(decode_delta(list.substr(0, end), part.jobs));
         list.remove_prefix(std::min(end + 1, list.size()));
     }
     return part;
@@ -103,8 +104,8 @@
     std::string list;
     const JobId* previous = nullptr;
     for (const auto& job : jobs) {
-        auto entry = difference(job, previous);
-        if (previous && list.size() + entry.size() + kPartOverhead > max_json_size) {
+        auto entry = encode_delta(job, previous);
+        if (previous && list.size() + entry.size() + kMaxPartOverheadBytes > max_json_size) {
             parts.push_back(encode_part(list, direct));
             list.clear();
             entry = job.get();
