--- a/src/kv/records.cpp
+++ b/src/kv/records.cpp
@@ -65,7 +65,7 @@
     JobRecord job;
     job.submitted_ms = static_cast<std::int64_t>(value["at"].need_count("at"));
     job.spec = wire::decode_job(value["spec"]);
-    if (!value["before"].is_null()) job.ancestors = wire::job_ids(value["before"], "before");
+    if (!value["before"].is_null()) job.ancestors = wire::decode_job_ids(value["before"], "before");
     if (!value["parts"].is_null()) job.dependency_parts = value["parts"].need_count("parts");
     return job;
 }
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr Names<MachinePhase, 3> kMachinePhases{{{"starting", MachinePhase::starting},
-                                                 {"running", MachinePhase::running},
-                                                 {"failed", MachinePhase::failed}}};
+constexpr EnumNames<MachinePhase, 3> kMachinePhases{{{"starting", MachinePhase::starting},
+                                                     {"running", MachinePhase::running},
+                                                     {"failed", MachinePhase::failed}}};
 
-constexpr double kUnknownStartup_s = 60;
+constexpr double kDefaultStartup_s = 60;
 
 MachineType decode_machine_type(Value value) {
     MachineType type;
@@ -25,8 +25,8 @@
     type.fetch_gb_per_s = value["fetch_gb_per_s"].number().value_or(0);
     type.on_demand_price = need_amount(value["rate"], "rate");
     type.spot_price = value["low_price"].number().value_or(type.on_demand_price);
-    type.startup_s = value["startup_s"].number().value_or(kUnknownStartup_s);
-    type.zones = text_list(value["regions"], "regions");
+    type.startup_s = value["startup_s"].number().value_or(kDefaultStartup_s);
+    type.zones = need_text_list(value["regions"], "regions");
     return type;
 }
 
@@ -47,7 +47,7 @@
 
 std::vector<MachineType> decode_machine_types(Value body) {
     const Value list = body["shapes"];
-    if (!list.is_list()) invalid("shapes");
+    if (!list.is_list()) throw_invalid_field("shapes");
     std::vector<MachineType> types;
     for (std::size_t i = 0; i < list.size(); ++i) types.push_back(decode_machine_type(list.at(i)));
     return types;
@@ -82,7 +82,7 @@
 
 MachineListPage decode_machine_list(Value body) {
     const Value list = body["hosts"];
-    if (!list.is_list()) invalid("hosts");
+    if (!list.is_list()) throw_invalid_field("hosts");
     MachineListPage page;
     page.has_next = body["has_next"].boolean().value_or(false);
     for (std::size_t i = 0; i < list.size(); ++i) {
@@ -93,7 +93,7 @@
 
 std::vector<MachineName> decode_hosts(Value body) {
     std::vector<MachineName> hosts;
-    for (auto& name : text_list(body["hosts"], "hosts")) hosts.emplace_back(std::move(name));
+    for (auto& name : need_text_list(body["hosts"], "hosts")) hosts.emplace_back(std::move(name));
     return hosts;
 }
 
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -64,16 +64,16 @@
 
 namespace {
 template <class T>
-T need(std::optional<T> v, const char* what) {
-    if (!v) throw DecodeError(std::string(what));
+T need(std::optional<T> v, const char* field) {
+    if (!v) throw DecodeError(std::string(field));
     return *v;
 }
 }  // namespace
 
-std::string Value::need_text(const char* what) const { return std::string(need(text(), what)); }
-double Value::need_number(const char* what) const { return need(number(), what); }
-std::uint64_t Value::need_count(const char* what) const { return need(count(), what); }
-bool Value::need_bool(const char* what) const { return need(boolean(), what); }
+std::string Value::need_text(const char* field) const { return std::string(need(text(), field)); }
+double Value::need_number(const char* field) const { return need(number(), field); }
+std::uint64_t Value::need_count(const char* field) const { return need(count(), field); }
+bool Value::need_bool(const char* field) const { return need(boolean(), field); }
 
 std::string Value::pack() const {
     Buffer buffer;
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -39,10 +39,10 @@
     std::optional<bool> boolean() const;
 
     /// As above, throwing DecodeError that names the field.
-    std::string need_text(const char* what) const;
-    double need_number(const char* what) const;
-    std::uint64_t need_count(const char* what) const;
-    bool need_bool(const char* what) const;
+    std::string need_text(const char* field) const;
+    double need_number(const char* field) const;
+    std::uint64_t need_count(const char* field) const;
+    bool need_bool(const char* field) const;
 
     /// Packs the value as it is.
     std::string pack() const;
@@ -74,17 +74,17 @@
   public:
     Writer() : packer_(buffer_) {}
     Writer& map(std::size_t n) {
-        json_ += kJsonBrackets;
+        json_size_ += kJsonBracketsBytes;
         packer_.pack_map(static_cast<std::uint32_t>(n));
         return *this;
     }
     Writer& list(std::size_t n) {
-        json_ += kJsonBrackets;
+        json_size_ += kJsonBracketsBytes;
         packer_.pack_array(static_cast<std::uint32_t>(n));
         return *this;
     }
     Writer& text(std::string_view s) {
-        json_ += json_text(s);
+        json_size_ += json_text_size(s);
         packer_.pack_str(static_cast<std::uint32_t>(s.size()));
         packer_.pack_str_body(s.data(), static_cast<std::uint32_t>(s.size()));
         return *this;
@@ -92,17 +92,17 @@
     Writer& count(std::uint64_t v) {
         std::size_t digits = 1;
         for (auto rest = v; rest >= 10; rest /= 10) ++digits;
-        json_ += digits + 1;
+        json_size_ += digits + 1;
         packer_.pack_uint64(v);
         return *this;
     }
     Writer& number(double v) {
-        json_ += kJsonNumber;
+        json_size_ += kJsonNumberBytes;
         packer_.pack_double(v);
         return *this;
     }
     Writer& boolean(bool v) {
-        json_ += kJsonBoolean;
+        json_size_ += kJsonBooleanBytes;
         if (v) {
             packer_.pack_true();
         } else {
@@ -111,29 +111,29 @@
         return *this;
     }
     Writer& null() {
-        json_ += kJsonNull;
+        json_size_ += kJsonNullBytes;
         packer_.pack_nil();
         return *this;
     }
     /// Appends a value packed earlier, of that size in JSON.
-    Writer& raw(std::string_view packed, std::size_t json = 0) {
-        json_ += json;
+    Writer& raw(std::string_view packed, std::size_t json_size = 0) {
+        json_size_ += json_size;
         buffer_.write(packed.data(), packed.size());
         return *this;
     }
     std::size_t size() const { return buffer_.size(); }
-    std::size_t json_size() const { return json_; }
+    std::size_t json_size() const { return json_size_; }
     std::string take() { return std::string(buffer_.data(), buffer_.size()); }
 
   private:
     // Bytes in JSON, each with the separator that follows.
-    static constexpr std::size_t kJsonBrackets = 3;
-    static constexpr std::size_t kJsonNumber = 25;
-    static constexpr std::size_t kJsonBoolean = 6;
-    static constexpr std::size_t kJsonNull = 5;
+    static constexpr std::size_t kJsonBracketsBytes = 3;
+    static constexpr std::size_t kJsonNumberBytes = 25;
+    static constexpr std::size_t kJsonBooleanBytes = 6;
+    static constexpr std::size_t kJsonNullBytes = 5;
 
     /// With the separator that follows.
-    static std::size_t json_text(std::string_view s) {
+    static std::size_t json_text_size(std::string_view s) {
         std::size_t n = 3;
         for (const char c : s)
             n += c == '"' || c == '\\' ? 2 : static_cast<unsigned char>(c) < 32 ? 6 : 1;
@@ -142,7 +142,7 @@
 
     Buffer buffer_;
     msgpack::packer<Buffer> packer_;
-    std::size_t json_ = 0;
+    std::size_t json_size_ = 0;
 };
 
 }  // namespace dunebridge::wire
--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -10,43 +10,43 @@
 
 constexpr std::uint32_t kMaxTasks = 100000;
 // Longer ids than any user sends would not fit a key of the key-value store.
-constexpr std::size_t kMaxJobId = 64;
-constexpr std::size_t kMaxName = 200;  // of a job class, a team or an image
-
-constexpr Names<Priority, 4> kPriorities{{{"prod", Priority::prod},
-                                          {"urgent", Priority::urgent},
-                                          {"standard", Priority::standard},
-                                          {"idle", Priority::idle}}};
-constexpr Names<JobPhase, 4> kJobPhases{{{"pending", JobPhase::pending},
-                                         {"running", JobPhase::running},
-                                         {"done", JobPhase::done},
-                                         {"withdrawn", JobPhase::cancelled}}};
-
-void decode_owner(Value body, JobSpec& job) {
+constexpr std::size_t kMaxJobIdBytes = 64;
+constexpr std::size_t kMaxNameBytes = 200;  // of a job class, a team or an image
+
+constexpr EnumNames<Priority, 4> kPriorities{{{"prod", Priority::prod},
+                                              {"urgent", Priority::urgent},
+                                              {"standard", Priority::standard},
+                                              {"idle", Priority::idle}}};
+constexpr EnumNames<JobPhase, 4> kJobPhases{{{"pending", JobPhase::pending},
+                                             {"running", JobPhase::running},
+                                             {"done", JobPhase::done},
+                                             {"withdrawn", JobPhase::cancelled}}};
+
+void decode_class_team_priority(Value body, JobSpec& job) {
     job.job_class = body["jobclass"].need_text("jobclass");
     job.team = body["owner"].need_text("owner");
-    if (job.job_class.size() > kMaxName) invalid("jobclass");
-    if (job.team.size() > kMaxName) invalid("owner");
-    if (body["jobkind"].need_text("jobkind") != "array") invalid("jobkind");
+    if (job.job_class.size() > kMaxNameBytes) throw_invalid_field("jobclass");
+    if (job.team.size() > kMaxNameBytes) throw_invalid_field("owner");
+    if (body["jobkind"].need_text("jobkind") != "array") throw_invalid_field("jobkind");
     const auto priority = from_name(kPriorities, body["urgency"].need_text("urgency"));
-    if (!priority) invalid("urgency");
+    if (!priority) throw_invalid_field("urgency");
     job.priority = *priority;
 }
 
-void decode_task_shape(Value body, JobSpec& job) {
+void decode_task_requirements(Value body, JobSpec& job) {
     const auto task_count = body["shards"].need_count("shards");
-    if (task_count < 1 || task_count > kMaxTasks) invalid("shards");
+    if (task_count < 1 || task_count > kMaxTasks) throw_invalid_field("shards");
     job.task_count = static_cast<std::uint32_t>(task_count);
     job.cores = need_amount(body["cores"], "cores");
     job.accelerators = need_amount(body["accelerators"], "accelerators");
     job.ram_gb = need_amount(body["ram_gb"], "ram_gb");
     job.image = body["bundle"].need_text("bundle");
-    if (job.image.size() > kMaxName) invalid("bundle");
+    if (job.image.size() > kMaxNameBytes) throw_invalid_field("bundle");
     job.image_gb = need_amount(body["size_gb"], "size_gb");
 }
 
 void decode_constraints(Value body, JobSpec& job) {
-    if (!body["shapes"].is_null()) job.machine_types = text_list(body["shapes"], "shapes");
+    if (!body["shapes"].is_null()) job.machine_types = need_text_list(body["shapes"], "shapes");
     if (!body["region"].is_null()) job.zone = body["region"].need_text("region");
     job.single_zone = body["together"].need_bool("together");
     job.spread_zones = body["apart"].need_bool("apart");
@@ -62,10 +62,10 @@
 
 }  // namespace
 
-std::vector<JobId> job_ids(Value list, const char* what) {
+std::vector<JobId> decode_job_ids(Value list, const char* field) {
     std::vector<JobId> out;
-    for (auto& id : text_list(list, what)) {
-        if (!valid_job_id(id)) invalid(what);
+    for (auto& id : need_text_list(list, field)) {
+        if (!valid_job_id(id)) throw_invalid_field(field);
         out.emplace_back(std::move(id));
     }
     std::sort(out.begin(), out.end());
@@ -80,7 +80,7 @@
 
 bool valid_job_id(std::string_view id) {
     constexpr std::string_view prefix = "req-";
-    if (id.size() <= prefix.size() || id.size() > kMaxJobId || !id.starts_with(prefix))
+    if (id.size() <= prefix.size() || id.size() > kMaxJobIdBytes || !id.starts_with(prefix))
         return false;
     id.remove_prefix(prefix.size());
     return std::all_of(id.begin(), id.end(), [](char c) { return c >= '0' && c <= '9'; });
@@ -96,13 +96,14 @@
     if (!body.is_map()) throw DecodeError(DecodeProblem::not_a_map);
     JobSpec job;
     const auto id = peek_job_id(body);
-    if (!id) invalid("name_id");
+    if (!id) throw_invalid_field("name_id");
     job.id = *id;
-    decode_owner(body, job);
-    decode_task_shape(body, job);
+    decode_class_team_priority(body, job);
+    decode_task_requirements(body, job);
     decode_constraints(body, job);
     decode_times(body, job);
-    if (!body["waits_on"].is_null()) job.dependencies = job_ids(body["waits_on"], "waits_on");
+    if (!body["waits_on"].is_null())
+        job.dependencies = decode_job_ids(body["waits_on"], "waits_on");
     return job;
 }
 
--- a/src/wire/job_messages.hpp
+++ b/src/wire/job_messages.hpp
@@ -45,7 +45,7 @@
 /// Whether the text has the form of a job id.
 bool valid_job_id(std::string_view id);
 /// A list of ids, sorted and without repetitions. Throws DecodeError that names the field.
-std::vector<JobId> job_ids(Value list, const char* what);
+std::vector<JobId> decode_job_ids(Value list, const char* field);
 void encode_job_ids(Writer& writer, const std::vector<JobId>& ids);
 /// Throws DecodeError. Job arrays are the only kind of job that the protocol knows.
 JobSpec decode_job(Value body);
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -9,36 +9,37 @@
 
 namespace {
 
-constexpr Names<TaskPhase, 4> kTaskPhases{{{"fetching", TaskPhase::fetching},
-                                           {"running", TaskPhase::running},
-                                           {"saving", TaskPhase::saving},
-                                           {"exited", TaskPhase::exited}}};
-constexpr Names<ExitReason, 6> kExitReasons{{{"done", ExitReason::done},
-                                             {"halted", ExitReason::stopped},
-                                             {"error", ExitReason::error},
-                                             {"full", ExitReason::full},
-                                             {"busy", ExitReason::busy},
-                                             {"unknown", ExitReason::unknown}}};
-constexpr Names<CommandKind, 3> kCommandKinds{
+constexpr EnumNames<TaskPhase, 4> kTaskPhases{{{"fetching", TaskPhase::fetching},
+                                               {"running", TaskPhase::running},
+                                               {"saving", TaskPhase::saving},
+                                               {"exited", TaskPhase::exited}}};
+constexpr EnumNames<ExitReason, 6> kExitReasons{{{"done", ExitReason::done},
+                                                 {"halted", ExitReason::stopped},
+                                                 {"error", ExitReason::error},
+                                                 {"full", ExitReason::full},
+                                                 {"busy", ExitReason::busy},
+                                                 {"unknown", ExitReason::unknown}}};
+constexpr EnumNames<CommandKind, 3> kCommandKinds{
     {{"start", CommandKind::start}, {"halt", CommandKind::stop}, {"clear", CommandKind::clear}}};
 
 TaskRef decode_task_ref(Value value) {
     const std::string text = value.need_text("shard");
     const auto slash = text.rfind('/');
-    if (slash == std::string::npos) invalid("shard");
+    if (slash == std::string::npos) throw_invalid_field("shard");
     TaskRef ref{JobId(text.substr(0, slash)), 0};
     const char* end = text.data() + text.size();
     const auto [ptr, ec] = std::from_chars(text.data() + slash + 1, end, ref.index);
-    if (ec != std::errc() || ptr != end) invalid("shard");
+    if (ec != std::errc() || ptr != end) throw_invalid_field("shard");
     return ref;
 }
 
-constexpr std::size_t kMaxMachineName = 100;
+constexpr std::size_t kMaxMachineNameBytes = 100;
 
 MachineName decode_machine_name(Value body) {
     auto name = body["host"].need_text("host");
     const bool separators = name.find_first_of(" /") != std::string::npos;
-    if (name.empty() || name.size() > kMaxMachineName || separators) invalid("host");
+    if (name.empty() || name.size() > kMaxMachineNameBytes || separators)
+        throw_invalid_field("host");
     return MachineName(std::move(name));
 }
 
@@ -144,7 +145,7 @@
     for (std::size_t i = 0; i < commands.size(); ++i) {
         const Value value = commands.at(i);
         const auto kind = from_name(kCommandKinds, value["verb"].need_text("verb"));
-        if (!kind) invalid("verb");
+        if (!kind) throw_invalid_field("verb");
         batch.commands.push_back({*kind, decode_task_ref(value["shard"]),
                                   Attempt(value["try"].need_count("try")),
                                   value["drain_s"].number().value_or(0)});
