--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -12,8 +12,8 @@
 using sansio::HttpResult;
 
 namespace {
-// A watch whose response was lost is requested again soon after it should have ended, as
-// cancellations and submissions are learnt from watches.
+// How long after the end of its wait a watch counts as failed. It is short because watches report
+// cancellations and submissions: a watch whose response was lost must be repeated soon.
 constexpr Millis kWatchTimeoutMargin{2000};
 constexpr Millis kLeaseTimeout{2500};
 constexpr Millis kRenewalTimeout{1000};
--- a/src/kv/client.hpp
+++ b/src/kv/client.hpp
@@ -18,27 +18,29 @@
 namespace dunebridge::kv {
 
 /// Client of the key-value store. All requests are asynchronous: each callback is called exactly
-/// once, in the controller's event loop, when the response has come or the timeout is over. The
-/// client retries nothing but pages that were refused for the request rate; rates are kept by the
-/// callers, each with its share of this controller's budget.
+/// once, in the controller's event loop, when the response has arrived or the timeout has expired.
+/// The client retries only the pages of list() that the store refuses with status 429 (too many
+/// requests). It does not limit the request rate: each caller keeps to its share of this
+/// controller's rate budget.
 class KvClient {
   public:
     /// Called with the result of a transaction.
     using OnTransaction = std::function<void(const TransactionResult&)>;
     /// Called with the result of reading one key.
     using OnGet = std::function<void(const GetResult&)>;
-    /// Called when all keys have been read, or one could not be.
+    /// Called when all keys have been read, or when a read has failed.
     using OnMultiGet = std::function<void(const MultiGetResult&)>;
-    /// Called when the whole prefix has been read, or a page could not be.
+    /// Called when the last page has been read, or when reading a page has failed.
     using OnList = std::function<void(const ListResult&)>;
-    /// Called when there are changes, when the wait is over without any, or on failure.
+    /// Called when there are changes, when the wait has expired without any, or on failure.
     using OnWatch = std::function<void(const WatchResult&)>;
-    /// Called with the new lease, or nothing if it is not known whether there is one.
+    /// Called with the new lease, or nullopt if the response does not show that one was created. A
+    /// lease may exist even then.
     using OnLeaseCreated = std::function<void(std::optional<LeaseId>)>;
-    /// Called with what is known of the lease after the attempt to renew it.
+    /// Called with the result of the attempt to renew the lease.
     using OnLeaseRenewal = std::function<void(LeaseRenewal)>;
 
-    /// Context and configuration must outlive the client.
+    /// The context and the configuration must outlive the client.
     KvClient(sansio::Context& context, const config::Config& config);
 
     /// Applies all writes if all preconditions hold, and none otherwise.
@@ -47,27 +49,31 @@
                           OnTransaction then);
     /// Reads one key.
     void get(const std::string& key, Millis timeout, OnGet then);
-    /// Reads the keys that are the prefix followed by one of the names, with few requests. Names
-    /// end in a digit. The timeout is that of each request. For no names, `then` is called at once.
+    /// Reads the keys formed by the prefix and each of the names, with few requests. Each name must
+    /// end in a digit. The timeout applies to each request. If there are no names, `then` is called
+    /// before this function returns.
     void multi_get(const std::string& prefix, std::vector<std::string> names, Millis timeout,
                    OnMultiGet then);
-    /// Reads all keys with a prefix, page after page.
+    /// Reads all keys that begin with the prefix, page by page.
     void list(const std::string& prefix, OnList then);
-    /// Waits for changes of keys with a prefix after the revision `from`, at most for `wait`.
+    /// Waits, at most for `wait`, for changes after the revision `from` to keys that begin with the
+    /// prefix.
     void watch(const std::string& prefix, KeyRevision from, Millis wait, OnWatch then);
-    /// Creates a lease: keys bound to it are removed when it has not been renewed for `ttl`.
+    /// Creates a lease. The store removes the keys bound to it once it has not been renewed for
+    /// `ttl`.
     void create_lease(Millis ttl, OnLeaseCreated then);
+    /// Renews a lease for another `ttl`, as given when it was created.
     void renew_lease(LeaseId lease, OnLeaseRenewal then);
 
-    /// Makes a small request if there has been no result for a while, so that reachable() is
-    /// recent. To be called at every turn of the event loop.
+    /// Sends a small read if no request has completed for a while, so that reachable() stays up to
+    /// date. Must be called in every iteration of the event loop.
     void probe_if_idle() { connection_.probe_if_idle(); }
-    /// Whether the latest request got a usable response.
+    /// Whether the latest completed request got a usable response; true before the first result.
     bool reachable() const { return connection_.reachable(); }
-    /// For how long requests have gone without a usable response; zero while reachable.
+    /// Time for which requests have had no usable response; zero while the store is reachable.
     Millis time_since_response() const { return connection_.time_since_response(); }
 
-    /// The most preconditions that the store takes in one transaction.
+    /// Returns the maximum number of preconditions that the store accepts in one transaction.
     std::size_t max_preconditions() const { return config_.kv_limits.max_preconditions(); }
 
   private:
--- a/src/kv/connection.cpp
+++ b/src/kv/connection.cpp
@@ -10,9 +10,11 @@
 namespace {
 constexpr Millis kProbeIdleTime{800};
 constexpr Millis kProbeTimeout{700};
-// A small key that exists as soon as there has been a leader; whether it does makes no difference.
+// A small record that exists once a leader has been elected. Before that the store responds with
+// status 404, which shows just as well that it can be reached.
 constexpr const char* kProbeTarget = "/kv/term";
-// With this status the store says itself that it cannot serve requests.
+// With this status the store reports that it cannot serve requests, so the response does not count
+// as usable.
 constexpr int kServiceUnavailable = 503;
 }  // namespace
 
@@ -32,7 +34,7 @@
 
 void KvConnection::track_result(const HttpResult& result, const std::string& target) {
     const bool usable = result.answered() && result.status != kServiceUnavailable;
-    // The first failure after a success begins the time without a response.
+    // The time without a response is measured from the first failure after a success.
     if (usable || reachable_) last_success_at_ = context_.now();
     last_result_at_ = context_.now();
     reachable_ = usable;
--- a/src/kv/connection.hpp
+++ b/src/kv/connection.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sends requests to the key-value store and tracks from their results whether it can be reached.
+/// Sends requests to the key-value store and tracks from the results whether it can be reached.
 #pragma once
 
 #include <string>
@@ -9,26 +9,29 @@
 
 namespace dunebridge::kv {
 
-/// Sends requests to the key-value store and tracks whether it can be reached.
+/// Connection to the key-value store. Tracks from the results of requests whether the store can be
+/// reached.
 class KvConnection {
   public:
     /// The context must outlive the connection.
     explicit KvConnection(sansio::Context& context) : context_(context) {}
 
-    /// Sends a request, whose result counts for reachability. `then` is called exactly once, when
-    /// the result is there or the time is over; never from within this function.
+    /// Sends a request and updates reachability with its result. `then` is called exactly once,
+    /// when the response has arrived or the timeout has expired, but never from within this
+    /// function.
     void call(std::string method, std::string target, std::string body, Millis timeout,
               sansio::Context::Continuation then);
-    /// Sends a long poll. Its result does not count for reachability: an open poll stays open
-    /// during an outage, so a late response says nothing.
+    /// Sends a long poll. Its result does not affect reachability: an open poll stays open during
+    /// an outage, so a late response gives no evidence either way. `then` is called as for call().
     void long_poll(std::string target, Millis timeout, sansio::Context::Continuation then);
-    /// Reads something small if there has been no result for a while. Without it a controller that
-    /// seldom makes requests would learn only from its users' waiting that it is cut off.
+    /// Sends a small read if no request has completed for a while, and schedules the next check.
+    /// Without it a controller that seldom sends requests would notice that it is cut off from the
+    /// store only when a user's request has to wait.
     void probe_if_idle();
 
-    /// Whether the latest request got a usable response; true before the first result.
+    /// Whether the latest completed request got a usable response; true before the first result.
     bool reachable() const { return reachable_; }
-    /// For how long requests have gone without a usable response; zero while reachable.
+    /// Time for which requests have had no usable response; zero while the store is reachable.
     Millis time_since_response() const;
 
     sansio::Context& context() { return context_; }
--- a/src/kv/multi_get.cpp
+++ b/src/kv/multi_get.cpp
@@ -38,12 +38,13 @@
 }
 
 void MultiGet::request_page() {
-    // A listing begins after the key that it is given. This one sorts before the next wanted key,
-    // whose last character is a digit, and after every key that ends in a smaller one.
+    // A listing begins after the key in `from`. The key built here sorts before the next requested
+    // key, whose last character is a digit, and after the keys in which a smaller character
+    // replaces that digit.
     auto start_after = next_key();
     start_after.back() = static_cast<char>(start_after.back() - 1);
     start_after += '~';
-    // Twice as much as is wanted, as other keys may lie between.
+    // Twice the number of remaining keys, because other keys may lie between them.
     const auto page_size = std::min(kMaxListPageSize, 2 * remaining());
     auto target =
         "/kv?starts=" + prefix_ + "&page=" + std::to_string(page_size) + "&from=" + start_after;
@@ -59,7 +60,7 @@
         return;
     }
     for (auto& entry : page->entries) {
-        // The listing is sorted: wanted keys before this one do not exist.
+        // The listing is sorted, so requested keys that sort before this one do not exist.
         while (remaining() > 0 && next_key() < entry.key) ++next_;
         if (remaining() == 0) break;
         if (next_key() != entry.key) continue;
--- a/src/kv/multi_get.hpp
+++ b/src/kv/multi_get.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads many keys that share a prefix with few requests.
+/// Reads several keys that share a prefix with few requests.
 #pragma once
 
 #include <cstddef>
@@ -13,19 +13,19 @@
 
 namespace dunebridge::kv {
 
-/// One read of many keys in progress. It owns itself through the callbacks of its requests.
+/// A read of several keys that is in progress. The callbacks of its pending requests own it.
 ///
-/// The store has no request for a set of keys. Pages of a listing that begins just before the next
-/// wanted key are read instead, including what lies between the wanted keys; a single key that is
-/// left is read by itself.
+/// The store has no request that reads a set of keys. This class lists pages that begin just before
+/// the next requested key instead, and skips other keys that lie between the requested ones. If a
+/// single key remains, it is read with a request of its own.
 class MultiGet : public std::enable_shared_from_this<MultiGet> {
   public:
-    /// Called once, when all keys have been read or one could not be. For no keys it is called
-    /// before start() returns.
+    /// Called once, when all keys have been read or a request has failed. If there are no keys, it
+    /// is called before start() returns.
     using OnRead = std::function<void(const MultiGetResult&)>;
 
-    /// Reads the keys that are the prefix followed by one of the names. Names end in a digit.
-    /// The timeout is that of each request. The connection must outlive the read.
+    /// Reads the keys formed by the prefix and each of the names. Each name must end in a digit.
+    /// The timeout applies to each request. The connection must outlive the operation.
     static void start(KvConnection& connection, std::string prefix, std::vector<std::string> names,
                       Millis timeout, OnRead on_read);
 
@@ -45,7 +45,7 @@
     KvConnection& connection_;
     std::string prefix_;
     std::vector<std::string> names_;  ///< Sorted.
-    std::size_t next_ = 0;            ///< Index of the first name that has not been read.
+    std::size_t next_ = 0;            ///< Index of the first name that is still to be read.
     Millis timeout_;
     OnRead on_read_;
     MultiGetResult result_;
--- a/src/kv/paged_list.cpp
+++ b/src/kv/paged_list.cpp
@@ -12,8 +12,10 @@
 namespace {
 constexpr Millis kPageTimeout{3000};
 constexpr int kTooManyRequests = 429;
-// A page that was refused for the request rate is requested again, up to this often in one listing.
+// A page that was refused with status 429 is requested again after a delay between one and two
+// times this one.
 constexpr Millis kRetryDelay{100};
+// Refused pages after which a listing fails.
 constexpr int kMaxThrottledResponses = 50;
 }  // namespace
 
@@ -35,7 +37,8 @@
 }
 
 void PagedList::handle_page(const HttpResult& response) {
-    // Over the request rate: the pages read so far are as good as before.
+    // The request rate was exceeded. The pages read so far remain valid, so only this one is
+    // requested again.
     if (response.status == kTooManyRequests && ++throttled_responses_ <= kMaxThrottledResponses) {
         auto& context = connection_.context();
         context.after(kRetryDelay + context.jitter(kRetryDelay),
--- a/src/kv/paged_list.hpp
+++ b/src/kv/paged_list.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Lists all keys with a prefix, page after page.
+/// Lists all keys with a prefix, page by page.
 #pragma once
 
 #include <functional>
@@ -11,13 +11,13 @@
 
 namespace dunebridge::kv {
 
-/// One listing in progress. It owns itself through the callbacks of its requests.
+/// A listing that is in progress. The callbacks of its pending requests own it.
 class PagedList : public std::enable_shared_from_this<PagedList> {
   public:
-    /// Called once, when the last page has been read or one could not be.
+    /// Called once, when the last page has been read or reading a page has failed.
     using OnListed = std::function<void(const ListResult&)>;
 
-    /// The connection must outlive the listing.
+    /// Lists all keys with the prefix. The connection must outlive the listing.
     static void start(KvConnection& connection, std::string prefix, OnListed on_listed);
 
   private:
@@ -29,8 +29,8 @@
     KvConnection& connection_;
     std::string prefix_;
     OnListed on_listed_;
-    std::string last_key_;         ///< The next page begins after this key; empty: from the start.
-    int throttled_responses_ = 0;  ///< How often a page was refused for the request rate.
+    std::string last_key_;  ///< The next page begins after this key; empty before the first page.
+    int throttled_responses_ = 0;  ///< Number of responses with status 429 in this listing.
     ListResult result_;
 };
 
--- a/src/kv/records.cpp
+++ b/src/kv/records.cpp
@@ -10,13 +10,14 @@
 namespace {
 
 constexpr char kSeparator = ',';
-// The most bytes of JSON around the list of a dependency part.
+// Upper bound on the bytes of JSON that a dependency part adds to its list of jobs.
 constexpr std::size_t kMaxPartOverheadBytes = 64;
 
+// Takes the bytes from the writer.
 PackedRecord to_packed_record(Writer& writer) { return {writer.take(), writer.json_size()}; }
 
-// The digits in which an id differs from the one before it, if both are of the same length; the
-// whole id otherwise. Sorted ids share most of their digits.
+// Returns the id without the prefix that it shares with the previous one (front coding), if both
+// have the same length; otherwise the whole id. Sorted ids share most of their digits.
 std::string_view encode_delta(const JobId& id, const JobId* previous) {
     const std::string_view text = id.get();
     if (!previous || previous->get().size() != text.size()) return text;
@@ -30,6 +31,7 @@
     return to_packed_record(writer);
 }
 
+// Decodes an entry written by encode_delta(); `before` holds the jobs decoded so far.
 JobId decode_delta(std::string_view text, const std::vector<JobId>& before) {
     if (text.empty()) throw wire::DecodeError("jobs");
     std::string id(text);
--- a/src/kv/records.hpp
+++ b/src/kv/records.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Records in the key-value store that more than one package reads: how a job was submitted, and
-/// how it became terminal. Their layout is stored data that earlier versions wrote and read.
+/// Records in the key-value store that more than one package reads: a job as it was submitted, and
+/// how it ended. Earlier versions read and write them, so their layout must stay compatible.
 #pragma once
 
 #include <cstdint>
@@ -14,51 +14,53 @@
 
 namespace dunebridge::kv {
 
-/// An encoded record and its size as the protocol counts it, in JSON.
+/// An encoded record and the size of its JSON form, to which the store's size limits apply.
 struct PackedRecord {
     std::string packed;         ///< MessagePack.
-    std::size_t json_size = 0;  ///< Bytes.
+    std::size_t json_size = 0;  ///< Bytes; never less than the actual size of the JSON form.
 };
 
-/// end/<id>: a job that is done or cancelled. Created once and never changed.
+/// Record end/<id>: a job that is done or cancelled. Created once and never changed.
 struct TerminalRecord {
     wire::JobPhase phase = wire::JobPhase::cancelled;  ///< `done` or `cancelled`.
-    /// The number of tasks; absent if the job was cancelled by a controller that does not lead,
-    /// which does not know it.
+    /// Number of tasks of the job. Absent if a controller that is not the leader cancelled the job,
+    /// because it does not know the number.
     std::optional<std::uint64_t> task_count;
-    std::int64_t ended_ms = 0;  ///< Time of day, Unix epoch.
+    std::int64_t ended_ms = 0;  ///< Wall-clock time in milliseconds since the Unix epoch.
 
     bool done() const { return phase == wire::JobPhase::done; }
     bool operator==(const TerminalRecord&) const = default;
 };
 PackedRecord encode(const TerminalRecord& record);
-/// Whatever is not `done` counts as cancelled.
+/// Decodes a terminal record. Any phase other than `done` is taken for `cancelled`; never throws.
 TerminalRecord decode_terminal_record(wire::Value value);
 
-/// job/<id>: a job that is not terminal.
+/// Record job/<id>: a job that is neither done nor cancelled.
 struct JobRecord {
-    std::int64_t submitted_ms = 0;  ///< Time of day, Unix epoch.
+    std::int64_t submitted_ms = 0;  ///< Wall-clock time in milliseconds since the Unix epoch.
     wire::JobSpec spec;
-    /// Jobs that must be done before it, through other jobs too, and were not when it was
-    /// submitted.
+    /// Jobs on which this job depends, directly or through other jobs, and which were not done when
+    /// it was submitted.
     std::vector<JobId> ancestors;
-    /// Number of records dep/<id>/<n> that hold its dependencies and ancestors instead; 0: none.
+    /// Number of records dep/<id>/<n> that hold the dependencies and ancestors instead of this
+    /// record; 0 if this record holds them.
     std::uint64_t dependency_parts = 0;
 };
-/// Throws wire::DecodeError.
+/// Decodes a job record. Throws wire::DecodeError.
 JobRecord decode_job_record(wire::Value value);
 PackedRecord encode(const JobRecord& record);
 
-/// dep/<id>/<n>: jobs on which the job depends.
+/// Record dep/<id>/<n>: some of the jobs on which job <id> depends.
 struct DependencyPart {
-    /// Whether the submission names them; otherwise those that it names depend on them.
+    /// Whether these are the direct dependencies that the submission names. Otherwise they are jobs
+    /// on which the direct dependencies depend.
     bool direct = false;
     std::vector<JobId> jobs;
 };
-/// Throws wire::DecodeError.
+/// Decodes a dependency record. Throws wire::DecodeError.
 DependencyPart decode_dependency_part(wire::Value value);
-/// Encodes the sorted jobs as the content of as many records as it takes, none of which is larger
-/// than the limit, in bytes of JSON.
+/// Encodes a sorted list of jobs as the contents of one or more dependency records, each of at most
+/// `max_json_size` bytes of JSON. Returns no records for an empty list.
 std::vector<PackedRecord> encode_dependency_parts(const std::vector<JobId>& jobs, bool direct,
                                                   std::size_t max_json_size);
 
--- a/src/kv/response_decoding.cpp
+++ b/src/kv/response_decoding.cpp
@@ -18,7 +18,8 @@
 constexpr int kGone = 410;
 constexpr int kInternalError = 500;
 constexpr int kGatewayTimeout = 504;
-// Text of the protocol: the one bad request that does not mean that the request is invalid.
+// Error text defined by the protocol. It marks the only case in which status 400 does not mean that
+// the request is invalid.
 constexpr std::string_view kNoSuchLease = "no such lease";
 
 TransactionOutcome transaction_outcome(const HttpResult& response, wire::Value body) {
@@ -32,7 +33,7 @@
         case kBadRequest:
             return body["error"].text() == kNoSuchLease ? TransactionOutcome::lease_expired
                                                         : TransactionOutcome::malformed;
-        // The store may have executed the transaction before it failed, or may yet do so.
+        // The store may have executed the transaction before the failure, or may still execute it.
         case kInternalError:
         case kGatewayTimeout:
             return TransactionOutcome::unknown;
@@ -41,7 +42,7 @@
     }
 }
 
-// The body of a successful response; null if there is none.
+// Returns the decoded body if the status is 200 and the body is MessagePack; null otherwise.
 std::shared_ptr<Document> successful_body(const HttpResult& response) {
     auto document = response.ok() ? Document::parse(response.body) : std::nullopt;
     return document ? std::make_shared<Document>(std::move(*document)) : nullptr;
--- a/src/kv/response_decoding.hpp
+++ b/src/kv/response_decoding.hpp
@@ -1,5 +1,6 @@
 /// \file
-/// Decodes responses of the key-value store into typed results.
+/// Decodes the key-value store's responses into typed results. Invalid responses do not throw: they
+/// give the result that stands for a failure.
 #pragma once
 
 #include <cstddef>
@@ -13,24 +14,28 @@
 
 namespace dunebridge::kv {
 
-/// The most entries that are requested in one page of a listing.
+/// Maximum number of entries requested in one page of a listing.
 inline constexpr std::size_t kMaxListPageSize = 500;
 
 /// One page of a listing.
 struct ListPage {
     std::vector<Entry> entries;
-    KeyRevision rev;        ///< Revision of the store when the page was read.
+    KeyRevision rev;        ///< Revision of the store at which the page was read.
     bool has_more = false;  ///< Whether another page follows.
 };
 
+/// Decodes the response to a transaction.
 TransactionResult decode_transaction_result(const sansio::HttpResult& response);
-/// Of a read of one key, which the response does not repeat.
+/// Decodes the response to a read of one key. The response does not contain the key, so the caller
+/// passes it.
 GetResult decode_get_result(const std::string& key, const sansio::HttpResult& response);
-/// Nothing if the response is not a page.
+/// Decodes one page of a listing; nullopt if the response is not a valid page.
 std::optional<ListPage> decode_list_page(const sansio::HttpResult& response);
+/// Decodes the response to a watch.
 WatchResult decode_watch_result(const sansio::HttpResult& response);
-/// The lease that was created; nothing if the response does not name one.
+/// Returns the lease that was created; nullopt if the response does not name one.
 std::optional<LeaseId> decode_created_lease(const sansio::HttpResult& response);
+/// Decodes the response to a lease renewal.
 LeaseRenewal decode_lease_renewal(const sansio::HttpResult& response);
 
 }  // namespace dunebridge::kv
