--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -13,6 +13,7 @@
                                                      {"running", MachinePhase::running},
                                                      {"failed", MachinePhase::failed}}};
 
+// Boot time assumed for a machine type for which the cloud states none.
 constexpr double kDefaultStartup_s = 60;
 
 MachineType decode_machine_type(Value value) {
--- a/src/wire/cloud_messages.hpp
+++ b/src/wire/cloud_messages.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Messages of the cloud's interface: machine types, scale-out requests and the list of machines.
+/// Messages of the cloud API: machine types, scale-out requests and the list of machines.
 #pragma once
 
 #include <cstdint>
@@ -22,21 +22,21 @@
     double ram_gb = 0;
     double cache_gb = 0;
     double fetch_gb_per_s = 0;
-    double on_demand_price = 0;  ///< price of an on-demand machine
-    double spot_price = 0;       ///< present price of a spot machine
-    double startup_s = 0;        ///< nominal boot time
+    double on_demand_price = 0;  ///< Price of an on-demand machine.
+    double spot_price = 0;       ///< Current price of a spot machine.
+    double startup_s = 0;        ///< Nominal boot time.
     std::vector<std::string> zones;
 };
 
-/// Throws DecodeError.
+/// Decodes the list of machine types. Throws DecodeError.
 std::vector<MachineType> decode_machine_types(Value body);
 
-/// Whether an empty machine of the type can hold a task that needs these resources and allows these
-/// machine types (absent: any).
+/// Returns whether an idle machine of this type can run a task that needs these resources and is
+/// restricted to these machine types (nullopt: any type).
 bool can_hold(const MachineType& type, const Resources& need,
               const std::optional<std::vector<std::string>>& machine_types);
 
-/// Asks for machines. The cloud grants a request with the same idempotency key once.
+/// A request for machines. The cloud grants requests with the same idempotency key only once.
 struct ScaleOutRequest {
     std::string idempotency_key;
     std::string machine_type;
@@ -46,13 +46,13 @@
 };
 
 std::string encode(const ScaleOutRequest& request);
-/// Throws DecodeError.
+/// Decodes a scale-out request. Throws DecodeError.
 ScaleOutRequest decode_scale_out_request(Value body);
 
-/// State of a machine by the cloud's list.
+/// State of a machine as the cloud lists it. States that are not known are decoded as `starting`.
 enum class MachinePhase : std::uint8_t { starting, running, failed };
 
-/// One row of the cloud's list of machines.
+/// One entry of the cloud's list of machines.
 struct ListedMachine {
     MachineName host;
     std::string endpoint;
@@ -60,7 +60,7 @@
     std::string zone;
     bool spot = false;
     MachinePhase phase = MachinePhase::starting;
-    double age_s = 0;  ///< seconds since the machine was granted
+    double age_s = 0;  ///< Seconds since the cloud granted the machine.
 };
 
 /// One page of the cloud's list of machines.
@@ -69,10 +69,12 @@
     bool has_next = false;
 };
 
-/// Throws DecodeError.
+/// Decodes one page of the list of machines. Throws DecodeError.
 MachineListPage decode_machine_list(Value body);
-/// Throws DecodeError.
+/// Decodes a list of machine names: the response to a scale-out request, or the body of a deletion
+/// request. Throws DecodeError.
 std::vector<MachineName> decode_hosts(Value body);
+/// Encodes a list of machine names, as decode_hosts() reads it.
 std::string encode_hosts(const std::vector<MachineName>& hosts);
 
 }  // namespace dunebridge::wire
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -5,11 +5,12 @@
 namespace dunebridge::wire {
 
 namespace {
-// Above 2^53 a float no longer says which integer was meant.
+// 2^53. Above it a double no longer represents every integer exactly.
 constexpr double kLargestExactInteger = 9007199254740992.0;
+// Limits on the elements of one list or map, and on the bytes of one string.
 constexpr std::size_t kMaxItems = 0x100000;
 constexpr std::size_t kMaxTextBytes = 0x4000000;
-// Depth is limited so that a hostile body cannot exhaust the stack.
+// Limits recursion, so that a malicious body cannot exhaust the stack.
 constexpr std::size_t kMaxDepth = 64;
 }  // namespace
 
--- a/src/wire/decode_error.hpp
+++ b/src/wire/decode_error.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The error that decoders throw.
+/// The exception that decoders throw.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,27 @@
 
 namespace dunebridge::wire {
 
-/// Why a message or a record cannot be decoded.
+/// Reason why a message or a record cannot be decoded.
 enum class DecodeProblem : std::uint8_t {
     not_messagepack,
     not_a_map,
     unknown_version,
-    bad_field  ///< missing, of another type, or out of its range
+    bad_field  ///< A field is missing, has the wrong type, or is out of range.
 };
 
-/// Thrown by decoders. what() can be shown to the sender of the message.
+/// Thrown by decoders. what() may be shown to the sender of the message.
 class DecodeError : public std::runtime_error {
   public:
     explicit DecodeError(DecodeProblem problem)
         : std::runtime_error(text_of(problem)), problem_(problem) {}
-    /// The field is missing, of another type, or out of its range.
+    /// Reports DecodeProblem::bad_field for the named field.
     explicit DecodeError(std::string field)
         : std::runtime_error("missing or invalid field: " + field),
           problem_(DecodeProblem::bad_field),
           field_(std::move(field)) {}
 
     DecodeProblem problem() const { return problem_; }
-    /// Empty if the problem is not with a field.
+    /// Name of the invalid field; empty if the problem is not DecodeProblem::bad_field.
     const std::string& field() const { return field_; }
 
   private:
--- a/src/wire/field_helpers.hpp
+++ b/src/wire/field_helpers.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Helpers that the message codecs share: enumerations by name, and checked fields.
+/// Helpers shared by the message codecs: names of enum values, and checks of fields.
 #pragma once
 
 #include <array>
@@ -14,11 +14,11 @@
 
 namespace dunebridge::wire {
 
-/// The values of an enumeration with their names on the wire.
+/// The values of an enum with their names on the wire.
 template <class E, std::size_t N>
 using EnumNames = std::array<std::pair<std::string_view, E>, N>;
 
-/// The value of that name, if there is one.
+/// Returns the enum value with this name; nullopt if there is none.
 template <class E, std::size_t N>
 std::optional<E> from_name(const EnumNames<E, N>& names, std::string_view s) {
     for (const auto& [name, e] : names)
@@ -26,7 +26,7 @@
     return std::nullopt;
 }
 
-/// The name of a value; empty if it has none.
+/// Returns the name of an enum value; empty if it has none.
 template <class E, std::size_t N>
 std::string_view to_name(const EnumNames<E, N>& names, E e) {
     for (const auto& [name, v] : names)
@@ -34,12 +34,12 @@
     return "";
 }
 
-/// Throws DecodeError that names the field.
+/// Throws a DecodeError that names the field.
 [[noreturn]] inline void throw_invalid_field(const char* field) {
     throw DecodeError(std::string(field));
 }
 
-/// A number from 0 to a thousand million. Throws DecodeError.
+/// Returns a number between 0 and 1e9. Throws DecodeError if it is anything else.
 inline double need_amount(Value v, const char* field) {
     constexpr double max_amount = 1e9;
     const double amount = v.need_number(field);
@@ -47,7 +47,7 @@
     return amount;
 }
 
-/// A list of texts. Throws DecodeError.
+/// Returns a list of strings. Throws DecodeError if it is anything else.
 inline std::vector<std::string> need_text_list(Value v, const char* field) {
     if (!v.is_list()) throw_invalid_field(field);
     std::vector<std::string> out;
--- a/src/wire/job_messages.cpp
+++ b/src/wire/job_messages.cpp
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr std::uint32_t kMaxTasks = 100000;
-// Longer ids than any user sends would not fit a key of the key-value store.
+// Longer ids would not fit in a key of the key-value store, and no user sends any that long.
 constexpr std::size_t kMaxJobIdBytes = 64;
-constexpr std::size_t kMaxNameBytes = 200;  // of a job class, a team or an image
+// Limit for the names of job classes, teams and images.
+constexpr std::size_t kMaxNameBytes = 200;
 
 constexpr EnumNames<Priority, 4> kPriorities{{{"prod", Priority::prod},
                                               {"urgent", Priority::urgent},
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// All messages of the protocol as typed structs.
+/// Includes all messages of the protocol as typed structs.
 ///
-/// The wire package is the only place that knows the protocol's field names: each codec maps them
-/// to the terms of the field that the rest of the code uses. docs/architecture.md lists the terms.
+/// Each codec maps the protocol's field names to the standard terms that the rest of the code uses.
+/// docs/architecture.md lists the terms. Responses of the key-value store are decoded in the kv
+/// package.
 #pragma once
 
 #include "wire/cloud_messages.hpp"
--- a/src/wire/state_messages.hpp
+++ b/src/wire/state_messages.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Transactions of the key-value store: a compare-and-swap over several keys.
+/// Transactions of the key-value store: compare-and-swap over several keys.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,20 @@
 
 namespace dunebridge::wire {
 
-/// Holds while the key is at the given revision.
+/// A condition of a transaction: the key must be at the given revision.
 struct Precondition {
     std::string key;
-    KeyRevision rev;  ///< 0: the key must not exist
+    KeyRevision rev;  ///< 0: the key must not exist.
 };
 
-/// One change that a transaction makes if all of its preconditions hold.
+/// A write that a transaction applies if all its preconditions hold.
 struct Write {
     std::string key;
-    std::optional<std::string> value;  ///< MessagePack; absent: the key is removed
-    std::optional<LeaseId> lease;      ///< the key is removed when this lease expires
+    std::optional<std::string> value;  ///< MessagePack; absent: remove the key.
+    std::optional<LeaseId> lease;      ///< The store removes the key when this lease expires.
 };
 
-/// Body of a transaction request.
+/// Encodes the body of a transaction request.
 std::string encode_transaction(const std::vector<Precondition>& preconditions,
                                const std::vector<Write>& writes);
 
