--- a/src/api/ancestor_resolver.cpp
+++ b/src/api/ancestor_resolver.cpp
@@ -13,7 +13,7 @@
     std::vector<std::string> ids;
     ids.reserve(terminal.size());
     for (const auto& id : terminal) ids.push_back(id.get());
-    kv_client_.get_each(kv::kTerminalPrefix, std::move(ids), kReadTimeout,
+    kv_client_.multi_get(kv::kTerminalPrefix, std::move(ids), kReadTimeout,
                         [this, terminal = std::move(terminal),
                          request = std::move(request)](const kv::MultiGetResult& rows) mutable {
                             const auto resolution = apply_terminal_records(request, terminal, rows);
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -37,7 +37,7 @@
 }
 
 void DependencyLookup::read_job_records(const SharedLookup& lookup) {
-    kv_client_.get_each(kv::kJobPrefix, lookup->ids_to_read, kReadTimeout,
+    kv_client_.multi_get(kv::kJobPrefix, lookup->ids_to_read, kReadTimeout,
                         [this, lookup](const kv::MultiGetResult& rows) {
                             if (!rows.available || is_past_deadline(*lookup)) {
                                 finish(lookup, Outcome::unavailable);
@@ -72,7 +72,7 @@
 // A job record is removed only after the terminal record has been created, so a job that has
 // neither was never accepted.
 void DependencyLookup::read_terminal_records(const SharedLookup& lookup) {
-    kv_client_.get_each(kv::kTerminalPrefix, lookup->ids_without_record, kReadTimeout,
+    kv_client_.multi_get(kv::kTerminalPrefix, lookup->ids_without_record, kReadTimeout,
                         [this, lookup](const kv::MultiGetResult& rows) {
                             if (!rows.available || is_past_deadline(*lookup)) {
                                 finish(lookup, Outcome::unavailable);
@@ -91,7 +91,7 @@
         const auto terminal = kv::decode_terminal_record(row->second.value);
         if (terminal.done()) {
             const JobId job(id);
-            cache_.set_terminal(job, {job, JobPhase::done, terminal.tasks.value_or(0), 0});
+            cache_.set_terminal(job, {job, JobPhase::done, terminal.task_count.value_or(0), 0});
         } else {
             lookup.result.any_cancelled = true;
         }
--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -56,7 +56,7 @@
         submission.writes.push_back(
             {kv::terminal_key(spec.id), cancellation_record(now_ms), std::nullopt});
     } else if (!prepare_single_record(submission)) {
-        if (spec.waits_on.empty()) return PrepareResult::too_large;
+        if (spec.dependencies.empty()) return PrepareResult::too_large;
         // A leader of an older version would ignore the parts and start the tasks too early.
         if (format < config::kSplitDependencyFormat) return PrepareResult::format_not_adopted;
         if (!prepare_parts(submission)) return PrepareResult::too_many_dependencies;
@@ -84,7 +84,7 @@
     auto parts = encode_parts(submission.record);
     if (!parts) return false;
     auto record = submission.record;
-    record.spec.waits_on.clear();
+    record.spec.dependencies.clear();
     record.ancestors.clear();
     record.dependency_parts = parts->size();
     auto packed = encode(record);
@@ -103,7 +103,7 @@
 // nothing if not even the direct dependencies fit.
 std::optional<std::vector<kv::PackedRecord>> SubmissionRecordBuilder::encode_parts(
     const kv::JobRecord& record) const {
-    const auto& named = record.spec.waits_on;
+    const auto& named = record.spec.dependencies;
     std::vector<JobId> direct;
     std::vector<JobId> further;
     for (const auto& id : record.ancestors) {
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -12,9 +12,9 @@
 using sansio::HttpResult;
 
 namespace {
-// A watch whose response was lost is requested again soon after it should have ended, as
-// cancellations and submissions are learnt from watches.
-constexpr Millis kWatchSlack{2000};
+// How long after the end of its wait a watch counts as failed. It is short because watches report
+// cancellations and submissions: a watch whose response was lost must be repeated soon.
+constexpr Millis kWatchTimeoutMargin{2000};
 constexpr Millis kLeaseTimeout{2500};
 constexpr Millis kRenewalTimeout{1000};
 
@@ -43,8 +43,8 @@
                      });
 }
 
-void KvClient::get_each(const std::string& prefix, std::vector<std::string> names, Millis timeout,
-                        OnMultiGet then) {
+void KvClient::multi_get(const std::string& prefix, std::vector<std::string> names, Millis timeout,
+                         OnMultiGet then) {
     MultiGet::start(connection_, prefix, std::move(names), timeout, std::move(then));
 }
 
@@ -55,7 +55,7 @@
 void KvClient::watch(const std::string& prefix, KeyRevision from, Millis wait, OnWatch then) {
     auto target = "/watch?starts=" + prefix + "&from=" + std::to_string(from.get()) +
                   "&wait_ms=" + std::to_string(wait.count());
-    connection_.long_poll(std::move(target), wait + kWatchSlack,
+    connection_.long_poll(std::move(target), wait + kWatchTimeoutMargin,
                           [then = std::move(then)](const HttpResult& response) {
                               then(decode_watch_result(response));
                           });
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -90,7 +90,7 @@
 }
 
 void ClusterStateLoader::apply_scale_out(const kv::Entry& row) {
-    if (row.key == kv::kFormatMark && config_.newest_record_format >= config::kRangeFormat) {
+    if (row.key == kv::kFormatMarkerKey && config_.newest_record_format >= config::kRangeFormat) {
         state_.restore_format(decode_format_mark(row.value, config_.newest_record_format));
     } else {
         state_.restore_scale_out(decode_scale_out_record(row.value));
@@ -174,8 +174,9 @@
     if (result.outcome == kv::TransactionOutcome::ok) {
         unchecked.erase(unchecked.begin(),
                         unchecked.begin() + static_cast<std::ptrdiff_t>(checked));
-    } else if (result.outcome == kv::TransactionOutcome::conflict && !result.failed.empty()) {
-        for (const auto& key : result.failed) {
+    } else if (result.outcome == kv::TransactionOutcome::conflict &&
+               !result.conflicting_keys.empty()) {
+        for (const auto& key : result.conflicting_keys) {
             const JobId id(kv::without_prefix(key, kv::kTerminalPrefix));
             state_.mark_terminal(id, context_.wall_ms());
             std::erase(unchecked, id);
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -38,14 +38,14 @@
 }
 
 void DependencyGraph::add(Job& job) {
-    if (job.spec.waits_on.empty() || job.state != JobState::active) return;
+    if (job.spec.dependencies.empty() || job.state != JobState::active) return;
     if (job.has_started()) return;  // all that it needs was done when an earlier leader placed it
-    for (const auto& dependency : job.spec.waits_on) {
+    for (const auto& dependency : job.spec.dependencies) {
         job.dependencies.unmet.insert(dependency);
         dependents_[dependency].push_back(job.spec.id);
     }
     propagate_priority(job);
-    for (const auto& dependency : job.spec.waits_on) {
+    for (const auto& dependency : job.spec.dependencies) {
         const auto* other = find(dependency);
         if (!other || other->state == JobState::terminal) read_terminal_record(dependency);
     }
@@ -88,12 +88,12 @@
     for (const auto& id : unread_ends_) names.push_back(id.get());
     reading_ = !names.empty();
     if (names.empty()) return;
-    kv_client_.get_each(kv::kTerminalPrefix, std::move(names), kReadTimeout,
-                        [this, clears = clears_](const kv::MultiGetResult& rows) {
-                            if (clears != clears_ || !callbacks_.active()) return;
-                            if (rows.available) take_ends(rows);
-                            after(kReadAgain, [this] { read_ends(); });
-                        });
+    kv_client_.multi_get(kv::kTerminalPrefix, std::move(names), kReadTimeout,
+                         [this, clears = clears_](const kv::MultiGetResult& rows) {
+                             if (clears != clears_ || !callbacks_.active()) return;
+                             if (rows.available) take_ends(rows);
+                             after(kReadAgain, [this] { read_ends(); });
+                         });
 }
 
 void DependencyGraph::take_ends(const kv::MultiGetResult& rows) {
@@ -118,7 +118,7 @@
         reached.pop_back();
         auto latest_end = job.dependencies.latest_end;
         if (latest_end != Instant::max()) {
-            latest_end -= from_seconds(job.spec.expected_s * kRunTimeSafetyFactor) + kHandover;
+            latest_end -= from_seconds(job.spec.expected_run_time_s * kRunTimeSafetyFactor) + kHandover;
         }
         for (const auto& dependency : job.dependencies.unmet) {
             Job* other = find(dependency);
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-constexpr Names<MachinePhase, 3> kMachinePhases{{{"starting", MachinePhase::starting},
-                                                 {"running", MachinePhase::running},
-                                                 {"failed", MachinePhase::failed}}};
+constexpr EnumNames<MachinePhase, 3> kMachinePhases{{{"starting", MachinePhase::starting},
+                                                     {"running", MachinePhase::running},
+                                                     {"failed", MachinePhase::failed}}};
 
-constexpr double kUnknownStartup_s = 60;
+// Boot time assumed for a machine type for which the cloud states none.
+constexpr double kDefaultStartup_s = 60;
 
 MachineType decode_machine_type(Value value) {
     MachineType type;
@@ -23,31 +24,31 @@
     type.ram_gb = need_amount(value["ram_gb"], "ram_gb");
     type.cache_gb = value["cache_gb"].number().value_or(0);
     type.fetch_gb_per_s = value["fetch_gb_per_s"].number().value_or(0);
-    type.rate = need_amount(value["rate"], "rate");
-    type.low_price = value["low_price"].number().value_or(type.rate);
-    type.startup_s = value["startup_s"].number().value_or(kUnknownStartup_s);
-    type.zones = text_list(value["regions"], "regions");
+    type.on_demand_price = need_amount(value["rate"], "rate");
+    type.spot_price = value["low_price"].number().value_or(type.on_demand_price);
+    type.startup_s = value["startup_s"].number().value_or(kDefaultStartup_s);
+    type.zones = need_text_list(value["regions"], "regions");
     return type;
 }
 
-MachineListing decode_machine_listing(Value value) {
-    MachineListing listing;
-    listing.host = MachineName(value["name_id"].need_text("name_id"));
-    listing.endpoint = value["endpoint"].text().value_or("");
-    listing.machine_type = value["shape"].need_text("shape");
-    listing.zone = value["region"].need_text("region");
-    listing.spot = value["reclaimable"].boolean().value_or(false);
+ListedMachine decode_listed_machine(Value value) {
+    ListedMachine machine;
+    machine.host = MachineName(value["name_id"].need_text("name_id"));
+    machine.endpoint = value["endpoint"].text().value_or("");
+    machine.machine_type = value["shape"].need_text("shape");
+    machine.zone = value["region"].need_text("region");
+    machine.spot = value["reclaimable"].boolean().value_or(false);
     const auto phase = from_name(kMachinePhases, value["phase"].need_text("phase"));
-    listing.phase = phase.value_or(MachinePhase::starting);
-    listing.held_s = value["held_s"].number().value_or(0);
-    return listing;
+    machine.phase = phase.value_or(MachinePhase::starting);
+    machine.age_s = value["held_s"].number().value_or(0);
+    return machine;
 }
 
 }  // namespace
 
 std::vector<MachineType> decode_machine_types(Value body) {
     const Value list = body["shapes"];
-    if (!list.is_list()) invalid("shapes");
+    if (!list.is_list()) throw_invalid_field("shapes");
     std::vector<MachineType> types;
     for (std::size_t i = 0; i < list.size(); ++i) types.push_back(decode_machine_type(list.at(i)));
     return types;
@@ -70,7 +71,7 @@
     writer.text("shape").text(request.machine_type);
     writer.text("region").text(request.zone);
     writer.text("reclaimable").boolean(request.spot);
-    writer.text("how_many").count(request.how_many);
+    writer.text("how_many").count(request.machine_count);
     return writer.take();
 }
 
@@ -82,18 +83,18 @@
 
 MachineListPage decode_machine_list(Value body) {
     const Value list = body["hosts"];
-    if (!list.is_list()) invalid("hosts");
+    if (!list.is_list()) throw_invalid_field("hosts");
     MachineListPage page;
     page.has_next = body["has_next"].boolean().value_or(false);
     for (std::size_t i = 0; i < list.size(); ++i) {
-        page.hosts.push_back(decode_machine_listing(list.at(i)));
+        page.machines.push_back(decode_listed_machine(list.at(i)));
     }
     return page;
 }
 
 std::vector<MachineName> decode_hosts(Value body) {
     std::vector<MachineName> hosts;
-    for (auto& name : text_list(body["hosts"], "hosts")) hosts.emplace_back(std::move(name));
+    for (auto& name : need_text_list(body["hosts"], "hosts")) hosts.emplace_back(std::move(name));
     return hosts;
 }
 
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -5,11 +5,12 @@
 namespace dunebridge::wire {
 
 namespace {
-// Above 2^53 a float no longer says which integer was meant.
+// 2^53. Above it a double no longer represents every integer exactly.
 constexpr double kLargestExactInteger = 9007199254740992.0;
+// Limits on the elements of one list or map, and on the bytes of one string.
 constexpr std::size_t kMaxItems = 0x100000;
 constexpr std::size_t kMaxTextBytes = 0x4000000;
-// Depth is limited so that a hostile body cannot exhaust the stack.
+// Limits recursion, so that a malicious body cannot exhaust the stack.
 constexpr std::size_t kMaxDepth = 64;
 }  // namespace
 
@@ -64,16 +65,16 @@
 
 namespace {
 template <class T>
-T need(std::optional<T> v, const char* what) {
-    if (!v) throw DecodeError(std::string(what));
+T need(std::optional<T> v, const char* field) {
+    if (!v) throw DecodeError(std::string(field));
     return *v;
 }
 }  // namespace
 
-std::string Value::need_text(const char* what) const { return std::string(need(text(), what)); }
-double Value::need_number(const char* what) const { return need(number(), what); }
-std::uint64_t Value::need_count(const char* what) const { return need(count(), what); }
-bool Value::need_bool(const char* what) const { return need(boolean(), what); }
+std::string Value::need_text(const char* field) const { return std::string(need(text(), field)); }
+double Value::need_number(const char* field) const { return need(number(), field); }
+std::uint64_t Value::need_count(const char* field) const { return need(count(), field); }
+bool Value::need_bool(const char* field) const { return need(boolean(), field); }
 
 std::string Value::pack() const {
     Buffer buffer;
@@ -99,7 +100,7 @@
     }
 }
 
-Document Document::need(std::string_view bytes) {
+Document Document::parse_or_throw(std::string_view bytes) {
     auto document = parse(bytes);
     if (!document) throw DecodeError(DecodeProblem::not_messagepack);
     return std::move(*document);
--- a/tests/many_ancestors_test.cpp
+++ b/tests/many_ancestors_test.cpp
@@ -123,8 +123,8 @@
     s.run(kSettled);
     wire::Writer w;
     wire::encode_job(w, dependent_job(1, many));
-    ASSERT_LT(w.json_size(), wire::kMaxBody);
-    ASSERT_GT(w.json_size(), wire::kMaxBody * 9 / 10);
+    ASSERT_LT(w.json_size(), wire::kMaxBodyBytes);
+    ASSERT_GT(w.json_size(), wire::kMaxBodyBytes * 9 / 10);
     EXPECT_EQ(s.request("POST", "/v1/jobs", w.take()).status, 201);
     s.run(kSettled);
     EXPECT_EQ(s.phase(job(1).id), "pending");
@@ -151,7 +151,7 @@
     auto config = ControllerHarness::config();
     config.newest_record_format = config::kRangeFormat;
     ControllerHarness s(1, config);
-    s.write(kv::kFormatMark,
+    s.write(kv::kFormatMarkerKey,
             wire::Writer().map(1).text("v").count(config::kSplitDependencyFormat).take());
     s.run(Millis(8000));
     EXPECT_FALSE(s.leads());
--- a/tests/sim/controller_harness.cpp
+++ b/tests/sim/controller_harness.cpp
@@ -22,7 +22,7 @@
     s.ram_gb = 1;
     s.image = "img";
     s.image_gb = 1;
-    s.expected_s = 10;
+    s.expected_run_time_s = 10;
     s.spot_allowed = true;
     return s;
 }
@@ -112,7 +112,7 @@
       state_(clock_),
       cloud_(clock_, {{"big", 16, 0, 64, 50, 1, 0.9, 0.3, 5, {"a"}}}, most_machines, Millis(4000),
              5,
-             {[this](const wire::MachineListing& row) { up_.push_back(row); },
+             {[this](const wire::ListedMachine& row) { up_.push_back(row); },
               [](const MachineName&) {},
               [this](const MachineName& host) { scaled_in_.insert(host); }}) {
     restart();
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -181,10 +181,10 @@
     harness.run(Millis(3000));
     ASSERT_EQ(harness.submit(job(1, 3)), 201);
     auto second = job(2);
-    second.waits_on = {job(1).id};
+    second.dependencies = {job(1).id};
     ASSERT_EQ(harness.submit(second), 201);
     auto third = job(3);
-    third.waits_on = {job(2).id};
+    third.dependencies = {job(2).id};
     ASSERT_EQ(harness.submit(third), 201);
     begin_tasks_and_end_first(harness);
     ASSERT_EQ(harness.request("POST", "/v1/jobs/req-000003/abort", {}).status, 200);
@@ -254,7 +254,7 @@
     auto config = ControllerHarness::config();
     config.newest_record_format = 2;
     ControllerHarness harness(1, config);
-    harness.write(kv::kFormatMark, wire::Writer().map(1).text("v").count(3).take());
+    harness.write(kv::kFormatMarkerKey, wire::Writer().map(1).text("v").count(3).take());
     for (const auto& [key, hex] : kProduction) harness.write(key, bytes(hex));
     harness.run(Millis(8000));
     EXPECT_FALSE(harness.leads());
