--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -9,21 +9,21 @@
 namespace dunebridge::state {
 
 namespace {
-constexpr Millis kReadAgain{500};
+constexpr Millis kReadInterval{500};
 constexpr Millis kReadTimeout{1500};
-// Between the end of a job and the first start of one that waits on it.
-constexpr Millis kHandover{2000};
+// Time between the end of a job and the first start of a task of a dependent job.
+constexpr Millis kDependentStartDelay{2000};
 }  // namespace
 
-DependencyGraph::DependencyGraph(sansio::Context& port, kv::KvClient& store,
+DependencyGraph::DependencyGraph(sansio::Context& context, kv::KvClient& kv_client,
                                  std::map<JobId, Job>& jobs, Callbacks callbacks)
-    : context_(port), kv_client_(store), jobs_(jobs), callbacks_(std::move(callbacks)) {}
+    : context_(context), kv_client_(kv_client), jobs_(jobs), callbacks_(std::move(callbacks)) {}
 
 void DependencyGraph::clear() {
     dependents_.clear();
-    unread_ends_.clear();
+    unread_terminal_records_.clear();
     reading_ = false;
-    ++clears_;
+    ++clear_count_;
 }
 
 Job* DependencyGraph::find(const JobId& id) {
@@ -31,15 +31,16 @@
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void DependencyGraph::after(Millis delay, std::function<void()> then) {
-    context_.after(delay, [this, clears = clears_, then = std::move(then)] {
-        if (clears == clears_ && callbacks_.active()) then();
+void DependencyGraph::call_after(Millis delay, std::function<void()> callback) {
+    context_.after(delay, [this, clear_count = clear_count_, callback = std::move(callback)] {
+        if (clear_count == clear_count_ && callbacks_.active()) callback();
     });
 }
 
 void DependencyGraph::add(Job& job) {
     if (job.spec.waits_on.empty() || job.state != JobState::active) return;
-    if (job.has_started()) return;  // all that it needs was done when an earlier leader placed it
+    // All dependencies were met when an earlier leader placed its first task.
+    if (job.has_started()) return;
     for (const auto& dependency : job.spec.waits_on) {
         job.dependencies.unmet.insert(dependency);
         dependents_[dependency].push_back(job.spec.id);
@@ -51,74 +52,78 @@
     }
 }
 
-void DependencyGraph::handle_job_end(const JobId& id, wire::JobPhase how) {
-    std::vector<JobId> ends{id};
-    while (!ends.empty()) {
-        const auto end = ends.back();
-        ends.pop_back();
-        const auto it = dependents_.find(end);
+void DependencyGraph::handle_job_end(const JobId& id, wire::JobPhase final_phase) {
+    std::vector<JobId> ended{id};
+    while (!ended.empty()) {
+        const auto dependency = ended.back();
+        ended.pop_back();
+        const auto it = dependents_.find(dependency);
         if (it == dependents_.end()) continue;
-        const auto waiting = std::move(it->second);
+        const auto dependents = std::move(it->second);
         dependents_.erase(it);
-        for (const auto& next : waiting) {
-            Job* job = find(next);
+        for (const auto& dependent : dependents) {
+            Job* job = find(dependent);
             if (!job || job->state != JobState::active) continue;
-            if (how == wire::JobPhase::cancelled) {
+            if (final_phase == wire::JobPhase::cancelled) {
                 callbacks_.cancel(*job);
-                ends.push_back(next);
-            } else if (job->dependencies.unmet.erase(end) > 0 && job->dependencies.unmet.empty()) {
+                ended.push_back(dependent);
+            } else if (job->dependencies.unmet.erase(dependency) > 0 &&
+                       job->dependencies.unmet.empty()) {
                 job->dependencies.runnable_since = context_.now();
             }
         }
     }
 }
 
-// The job is not in the cluster state, or how it ended is not known here: its end is read. It may
-// not be there yet, as what others write arrives in its own time. Those asked for together are read
-// together.
+// For a job that is not in the cluster state, or whose final phase is not known. Its terminal
+// record may not be visible yet, so reads are repeated until it is. Records that are requested at
+// the same time are read together.
 void DependencyGraph::read_terminal_record(const JobId& id) {
-    if (!dependents_.contains(id) || !unread_ends_.insert(id).second || reading_) return;
+    if (!dependents_.contains(id) || !unread_terminal_records_.insert(id).second || reading_)
+        return;
     reading_ = true;
-    after(Millis(0), [this] { read_ends(); });
+    call_after(Millis(0), [this] { read_terminal_records(); });
 }
 
-void DependencyGraph::read_ends() {
+void DependencyGraph::read_terminal_records() {
     std::vector<std::string> names;
-    names.reserve(unread_ends_.size());
-    for (const auto& id : unread_ends_) names.push_back(id.get());
+    names.reserve(unread_terminal_records_.size());
+    for (const auto& id : unread_terminal_records_) names.push_back(id.get());
     reading_ = !names.empty();
     if (names.empty()) return;
     kv_client_.get_each(kv::kTerminalPrefix, std::move(names), kReadTimeout,
-                        [this, clears = clears_](const kv::MultiGetResult& rows) {
-                            if (clears != clears_ || !callbacks_.active()) return;
-                            if (rows.available) take_ends(rows);
-                            after(kReadAgain, [this] { read_ends(); });
+                        [this, clear_count = clear_count_](const kv::MultiGetResult& rows) {
+                            if (clear_count != clear_count_ || !callbacks_.active()) return;
+                            if (rows.available) apply_terminal_records(rows);
+                            call_after(kReadInterval, [this] { read_terminal_records(); });
                         });
 }
 
-void DependencyGraph::take_ends(const kv::MultiGetResult& rows) {
+void DependencyGraph::apply_terminal_records(const kv::MultiGetResult& rows) {
     for (const auto& [key, row] : rows.entries) {
         const JobId id(kv::without_prefix(key, kv::kTerminalPrefix));
-        unread_ends_.erase(id);
+        unread_terminal_records_.erase(id);
         handle_job_end(id, kv::decode_terminal_record(row.value).phase);
     }
-    // What is open in the cluster state has no end yet; the watch reports it.
-    std::erase_if(unread_ends_, [this](const JobId& id) {
+    // A job that is open in the cluster state has no terminal record yet; the watch will report it.
+    std::erase_if(unread_terminal_records_, [this](const JobId& id) {
         const auto* job = find(id);
         return job && job->state != JobState::terminal;
     });
 }
 
-// Priority and latest end reach back over all that a job depends on; only what improves goes on, so
-// that diamonds and wide fans cost no more than their edges.
+// Propagates priority and latest end from a job to its direct and indirect dependencies. Continues
+// only from jobs whose values change, so that jobs reachable on many paths (diamonds, wide
+// fan-outs) are not visited once for each path.
 void DependencyGraph::propagate_priority(const Job& from) {
-    std::vector<const Job*> reached{&from};
-    while (!reached.empty()) {
-        const auto& job = *reached.back();
-        reached.pop_back();
+    std::vector<const Job*> changed{&from};
+    while (!changed.empty()) {
+        const auto& job = *changed.back();
+        changed.pop_back();
         auto latest_end = job.dependencies.latest_end;
         if (latest_end != Instant::max()) {
-            latest_end -= from_seconds(job.spec.expected_s * kRunTimeSafetyFactor) + kHandover;
+            latest_end -=
+                from_seconds(job.spec.expected_s * kRunTimeSafetyFactor) + kDependentStartDelay;
         }
         for (const auto& dependency : job.dependencies.unmet) {
             Job* other = find(dependency);
@@ -129,7 +134,7 @@
             other->dependencies.effective_priority = std::max(
                 other->dependencies.effective_priority, job.dependencies.effective_priority);
             other->dependencies.latest_end = std::min(other->dependencies.latest_end, latest_end);
-            reached.push_back(other);
+            changed.push_back(other);
         }
     }
 }
