--- a/src/state/cluster_state_follower.cpp
+++ b/src/state/cluster_state_follower.cpp
@@ -11,10 +11,10 @@
 namespace dunebridge::state {
 
 namespace {
-constexpr Millis kLongestWait{8000};
-constexpr Millis kShortestWait{500};
+constexpr Millis kMaxWatchTimeout{8000};
+constexpr Millis kMinWatchTimeout{500};
 constexpr Millis kRetryBackoff{300};
-constexpr Millis kPause{20};  // gathers changes that come together into one answer
+constexpr Millis kBatchDelay{20};  // lets the next watch return several changes at once
 constexpr Millis kDependenciesRetryBackoff{500};
 }  // namespace
 
@@ -34,11 +34,12 @@
     watch(WatchedRecords::terminal_records, from);
 }
 
-// What is known of terminal records must never be older than leases allow: an answer without
-// changes, too, shows that there were none.
-Millis ClusterStateFollower::longest_wait(WatchedRecords records) const {
-    if (records == WatchedRecords::jobs) return kLongestWait;
-    return std::clamp(config_.max_cancellation_staleness() / 4, kShortestWait, kLongestWait);
+// The time after which the key-value store answers a watch even without changes. Watches on
+// terminal records must be answered often enough for the staleness that the renewal of leases
+// allows; an answer without changes also confirms that there were none.
+Millis ClusterStateFollower::watch_timeout(WatchedRecords records) const {
+    if (records == WatchedRecords::jobs) return kMaxWatchTimeout;
+    return std::clamp(config_.max_cancellation_staleness() / 4, kMinWatchTimeout, kMaxWatchTimeout);
 }
 
 void ClusterStateFollower::watch(WatchedRecords records, KeyRevision from) {
@@ -46,7 +47,7 @@
     const auto handle = [this, records, from,
                          sent_at = context_.now()](const kv::WatchResult& result) {
         if (result.kind == kv::WatchResult::Kind::compacted) {
-            // Changes have been missed: a new term reads everything again.
+            // Changes were missed: a new term loads everything again.
             election_.require_new_term();
             return;
         }
@@ -58,9 +59,9 @@
         if (records == WatchedRecords::terminal_records) {
             terminal_records_read_at_ = std::max(terminal_records_read_at_, sent_at);
         }
-        watch_after(kPause, records, result.rev);
+        watch_after(kBatchDelay, records, result.rev);
     };
-    kv_client_.watch(prefix, from, longest_wait(records),
+    kv_client_.watch(prefix, from, watch_timeout(records),
                      while_in_term<kv::WatchResult>(state_, handle));
 }
 
@@ -101,7 +102,8 @@
     }
 }
 
-// They were created in the same transaction as the job's record.
+// Dependency records are created in the same transaction as the job's record. A read that returns
+// fewer of them is repeated.
 void ClusterStateFollower::read_dependencies(const JobId& id) {
     const auto handle = [this, id](const kv::ListResult& records) {
         auto* job = state_.find_job(id);
--- a/src/state/cluster_state_follower.hpp
+++ b/src/state/cluster_state_follower.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Follows what other nodes write while this node leads: new jobs, and cancellations.
+/// Applies the changes that other nodes write while this node leads: new jobs and cancellations.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +12,9 @@
 
 namespace dunebridge::state {
 
-/// Keeps watches on the key-value store, one after the other, and applies their changes to the
-/// cluster state. Called on the controller's thread only. The watches end by themselves with the
-/// term in which they were started.
+/// Watches the job records and the terminal records in the key-value store, and applies their
+/// changes to the cluster state. Used on the controller's thread only. The watches end when the
+/// term in which they were started ends.
 class ClusterStateFollower {
   public:
     /// All references must outlive the follower.
@@ -22,20 +22,21 @@
                          coordination::Election& election, ClusterState& cluster_state,
                          const config::Config& config);
 
-    /// Applies all changes after the revision. The cluster state must be loaded, and hold every
-    /// terminal record that was committed before `terminal_records_read_at`.
+    /// Starts to apply all changes after the revision `from`. The cluster state must be loaded and
+    /// reflect every terminal record that was committed before `terminal_records_read_at`.
     void start(KeyRevision from, Instant terminal_records_read_at);
 
-    /// Every terminal record that was committed before this moment is known. How long ago that is
-    /// bounds for how long leases may be renewed (LeadershipGuard::may_renew_leases).
+    /// Every terminal record that was committed before this time is known. Its age limits how long
+    /// leases may be renewed (LeadershipGuard::may_renew_leases).
     Instant terminal_records_read_at() const { return terminal_records_read_at_; }
 
   private:
+    /// The key prefixes that are watched.
     enum class WatchedRecords : std::uint8_t { jobs, terminal_records };
 
     void watch(WatchedRecords records, KeyRevision from);
     void watch_after(Millis delay, WatchedRecords records, KeyRevision from);
-    Millis longest_wait(WatchedRecords records) const;
+    Millis watch_timeout(WatchedRecords records) const;
     void apply_change(WatchedRecords records, const kv::WatchEvent& change);
     void add_new_job(const kv::WatchEvent& change);
     void apply_terminal_record(const kv::WatchEvent& change);
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -19,7 +19,8 @@
 constexpr Millis kRetryBackoff{150};
 }  // namespace
 
-// Dependencies and progress need their jobs, placements need their machines.
+// The order matters: dependency and progress records refer to jobs, and progress records refer to
+// machines.
 const ClusterStateLoader::Step ClusterStateLoader::kSteps[] = {
     {kv::kJobPrefix, &ClusterStateLoader::apply_job},
     {kv::kDependencyPrefix, &ClusterStateLoader::apply_dependencies},
@@ -68,9 +69,8 @@
     }
 }
 
-// A read that was refused, as the key-value store is over its rate or slow, is made again: a new
-// term would only begin the whole load anew, and with it as many reads. Whether this node still
-// leads is known apart from that.
+// Repeats a read that failed because the key-value store was rate-limited or slow. A new term would
+// start the whole load again and cause even more reads. Loss of leadership is detected elsewhere.
 void ClusterStateLoader::retry(std::function<void()> read) {
     context_.after(kRetryBackoff + context_.jitter(kRetryBackoff),
                    while_in_term(state_, std::move(read)));
@@ -82,7 +82,7 @@
     state_.add_job(kv::decode_job_record(row.value), row.rev);
 }
 
-// Those of a job that was created after the jobs were read are read by the follower.
+// Skips the records of a job that was created after the jobs were read: the follower reads them.
 void ClusterStateLoader::apply_dependencies(const kv::Entry& row) {
     const auto name = kv::without_prefix(row.key, kv::kDependencyPrefix);
     auto* job = state_.find_job(JobId(name.substr(0, name.rfind('/'))));
@@ -101,7 +101,7 @@
 void ClusterStateLoader::apply_progress(const kv::Entry& row) {
     const auto record = decode_progress(row, config_.newest_record_format);
     state_.stored().set(row.key, row.rev);
-    auto& job = job_with_progress(record.job, record.from + record.size);
+    auto& job = find_or_add_job(record.job, record.from + record.size);
     const auto task_count = static_cast<std::uint32_t>(job.tasks.size());
     if (record.from >= task_count) throw wire::DecodeError("from");
     job.ranges.push_back({record.from, std::min(record.size, task_count - record.from), row.key});
@@ -113,25 +113,26 @@
     }
     for (const auto& placement : record.placements) {
         if (placement.task_index >= task_count) throw wire::DecodeError("index");
-        // A machine that no scale-out names any more counts all the same, until it is proved gone.
+        // A machine that no scale-out record names any more is kept until it is proved gone.
         auto* machine = state_.find_machine(placement.machine);
         if (!machine) machine = &state_.create_machine(placement.machine);
         state_.restore_placement(job, placement.task_index, *machine, placement.attempt);
     }
 }
 
-// Where the job is terminal and its record gone, what was recorded of it counts until it is proved
-// gone. How many tasks it had is not known then: at least those that progress is recorded of.
-Job& ClusterStateLoader::job_with_progress(const JobId& id, std::uint32_t task_count) {
+// Returns the job of a progress record. If the job is terminal and its own record is deleted, it is
+// added as a terminal job, because its recorded placements count until they are proved gone. The
+// number of its tasks is then unknown: there are at least as many as the progress records cover.
+Job& ClusterStateLoader::find_or_add_job(const JobId& id, std::uint32_t task_count) {
     auto* known = state_.find_job(id);
     auto& job = known ? *known : state_.add_terminal_job(id);
     if (job.spec.task_count == 0 && job.tasks.size() < task_count) job.tasks.resize(task_count);
     return job;
 }
 
-// ---- after the steps ----
+// ---- after all records have been read ----
 
-// Derives from the records of each job what they do not hold themselves.
+// Derives the fields of each job that its records do not contain.
 void ClusterStateLoader::complete_jobs() {
     std::vector<JobId> ids;
     ids.reserve(state_.jobs().size());
@@ -148,8 +149,8 @@
     find_terminal_jobs(std::move(ids));
 }
 
-// Transactions without writes compare the keys of the jobs' terminal records with absence: a
-// conflict names the jobs that are terminal, without reading the records.
+// Finds the terminal jobs with transactions that write nothing and require that the jobs' terminal
+// records do not exist. A conflict names the keys that do exist, without reading the records.
 void ClusterStateLoader::find_terminal_jobs(std::vector<JobId> unchecked) {
     if (unchecked.empty()) {
         finish();
@@ -168,7 +169,7 @@
                                 while_in_term<kv::TransactionResult>(state_, std::move(handle)));
 }
 
-// The first `checked` jobs were compared.
+// Handles the result of a transaction that covered the first `checked` of the unchecked jobs.
 void ClusterStateLoader::handle_terminal_check(std::vector<JobId> unchecked, std::size_t checked,
                                                const kv::TransactionResult& result) {
     if (result.outcome == kv::TransactionOutcome::ok) {
@@ -189,7 +190,7 @@
 
 void ClusterStateLoader::finish() {
     state_.set_loaded();
-    link_dependencies();
+    build_dependency_graph();
     context_.log(sansio::LogLevel::info,
                  "event=state_loaded term={} jobs={} machines={} open_scale_outs={}",
                  election_.term().get(), state_.jobs().size(), state_.machines().size(),
@@ -197,14 +198,14 @@
     follower_.start(first_revision_, started_at_);
 }
 
-// Where dependencies of a job are missing it may have been cancelled meanwhile; else it must not
-// start.
-void ClusterStateLoader::link_dependencies() {
+// Adds all jobs to the dependency graph. Dependency records of a job may be missing because it was
+// cancelled in the meantime. Any other job must not start without them: this node resigns.
+void ClusterStateLoader::build_dependency_graph() {
     for (auto& [id, job] : state_.jobs()) {
         if (job.state == JobState::active &&
             job.dependencies.records_read < job.dependencies.record_count) {
-            resign_over_invalid_record(context_, election_,
-                                       {kv::dependency_prefix(id), "parts are missing"});
+            resign_over_invalid_record(
+                context_, election_, {kv::dependency_prefix(id), "dependency records are missing"});
             return;
         }
         state_.dependencies().add(job);
--- a/src/state/cluster_state_loader.hpp
+++ b/src/state/cluster_state_loader.hpp
@@ -15,9 +15,9 @@
 
 namespace dunebridge::state {
 
-/// Fills the cluster state, step by step, and then starts the follower. Called on the controller's
-/// thread only. A load ends by itself with the term for which it was begun; a record that cannot be
-/// read ends it too, and this node resigns.
+/// Loads the cluster state, one key prefix after the other, and then starts the follower. Used on
+/// the controller's thread only. A load stops when the term for which it was started ends. It also
+/// stops at a record that cannot be decoded, and this node then gives up leadership.
 class ClusterStateLoader {
   public:
     /// All references must outlive the loader.
@@ -25,12 +25,12 @@
                        coordination::Election& election, ClusterState& cluster_state,
                        ClusterStateFollower& follower, const config::Config& config);
 
-    /// Empties the cluster state and reads it anew for the term that has begun.
-    /// ClusterState::loaded() turns true once everything has been read.
+    /// Clears the cluster state and reads it for the term that has begun. ClusterState::loaded()
+    /// returns true once everything has been read.
     void load();
 
   private:
-    // Reads all records with a prefix, and applies them one by one.
+    /// Reads all records whose keys have a prefix, and applies them one by one.
     struct Step {
         const char* prefix;
         void (ClusterStateLoader::*apply)(const kv::Entry&);
@@ -43,14 +43,14 @@
     void apply_dependencies(const kv::Entry& row);
     void apply_scale_out(const kv::Entry& row);
     void apply_progress(const kv::Entry& row);
-    Job& job_with_progress(const JobId& id, std::uint32_t task_count);
+    Job& find_or_add_job(const JobId& id, std::uint32_t task_count);
     void complete_jobs();
 
     void find_terminal_jobs(std::vector<JobId> unchecked);
     void handle_terminal_check(std::vector<JobId> unchecked, std::size_t checked,
                                const kv::TransactionResult& result);
     void finish();
-    void link_dependencies();
+    void build_dependency_graph();
     void retry(std::function<void()> read);
 
     sansio::Context& context_;
@@ -60,7 +60,7 @@
     ClusterStateFollower& follower_;
     const config::Config& config_;
     Instant started_at_{};
-    KeyRevision first_revision_;  ///< Of the first step: watching from here misses nothing.
+    KeyRevision first_revision_;  ///< of the first read; watches from here miss no change
 };
 
 }  // namespace dunebridge::state
