--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -11,18 +11,18 @@
 using kv::kScaleOutPrefix;
 
 namespace {
-// Sums of decimals must not leave a remainder that looks like use.
-constexpr double kLeastUse = 1e-9;
+// Smaller values are rounding errors of adding and subtracting fractions, and count as no usage.
+constexpr double kUsageEpsilon = 1e-9;
 }  // namespace
 
-ClusterState::ClusterState(sansio::Context& port, kv::KvClient& store,
+ClusterState::ClusterState(sansio::Context& context, kv::KvClient& kv_client,
                            const coordination::Election& election)
-    : context_(port),
+    : context_(context),
       election_(election),
-      dependencies_(port, store, jobs_,
+      dependencies_(context, kv_client, jobs_,
                     {[this] { return is_current(generation_); },
                      [this](Job& job) { cancel_with_dependency(job); }}),
-      dirty_(port) {}
+      dirty_(context) {}
 
 bool ClusterState::is_current(std::uint64_t generation) const {
     return generation == generation_ && election_.is_leader() &&
@@ -41,8 +41,8 @@
     machines_.clear();
     scale_outs_.clear();
     unanswered_scale_outs_.clear();
-    needing_commands_.clear();
-    use_.clear();
+    machines_needing_commands_.clear();
+    team_usage_.clear();
     dirty_.clear();
     stored_.clear();
     dependencies_.clear();
@@ -59,7 +59,7 @@
     job.spec = std::move(record.spec);
     job.sequence = ++next_sequence_;
     job.dependencies.record_count = record.dependency_parts;
-    // Time of day may differ between nodes; a job is never from the future.
+    // Wall clocks differ between nodes: a submission time in the future counts as now.
     const auto age = std::max<std::int64_t>(0, context_.wall_ms() - record.submitted_ms);
     job.submitted_at = job.dependencies.runnable_since = context_.now() - Millis(age);
     job.dependencies.effective_priority = job.spec.priority;
@@ -73,7 +73,7 @@
     return &job;
 }
 
-// What was recorded of it counts until it is proved gone.
+// The job's recorded placements keep their resources until they are proved gone.
 Job& ClusterState::add_terminal_job(const JobId& id) {
     auto& job = jobs_[id];
     job.spec.id = id;
@@ -92,7 +92,8 @@
 void ClusterState::mark_terminal(const JobId& id, std::int64_t at_ms) {
     Job* job = find_job(id);
     if (!job || job->state == JobState::terminal) return;
-    // A done job's end is this leader's own write: the answer to the commit settles it.
+    // This leader itself may be writing the terminal record of a finished job: the result of the
+    // commit decides.
     if (job->state == JobState::finishing && committing_) return;
     job->state = JobState::terminal;
     const auto ago = at_ms > 0 ? std::max<std::int64_t>(0, context_.wall_ms() - at_ms) : 0;
@@ -113,7 +114,7 @@
     if (index >= job.tasks.size() || job.tasks[index].done || job.state != JobState::active) return;
     job.tasks[index].done = true;
     ++job.done_count;
-    // Seldom: most tasks are placed when they are done, and the list may be long.
+    // Only for a task without a placement, which is rare: erasing searches a list that may be long.
     if (!job.tasks[index].placement) std::erase(job.pending_tasks, index);
     mark_progress_dirty(job, index, CommitUrgency::batched);
     finish_if_done(job);
@@ -125,7 +126,7 @@
     dirty_.mark(kv::terminal_key(job.spec.id), CommitUrgency::terminal);
 }
 
-// A job that it depends on is cancelled: it has begun nothing, and ends with it.
+// Cancels the job because a job that it depends on is cancelled. None of its tasks has started.
 void ClusterState::cancel_with_dependency(Job& job) {
     job.state = JobState::finishing;
     job.dependencies.cancelled = true;
@@ -154,9 +155,9 @@
         const auto id = it->first;
         const auto dependency_parts = job.dependencies.record_count;
         it = jobs_.erase(it);
-        // The job's own record goes last: without it nobody would know what its tasks take.
+        // The job's own record is deleted last: it holds the resources that its tasks require.
         for (const auto& range : ranges) {
-            // Its first write may be under way.
+            // A record that is not stored may be in the transaction that is in progress.
             if (stored_.contains(range.key) || committing_) {
                 dirty_.mark(range.key, CommitUrgency::batched);
             } else {
@@ -201,8 +202,8 @@
     machine.machine_type = machine_type;
     machine.spot = spot;
     if (machine.zone == zone) return;
-    for (auto& [key, p] : machine.placements) {
-        auto& zones = p.job->placements_by_zone;
+    for (auto& [key, placement] : machine.placements) {
+        auto& zones = placement.job->placements_by_zone;
         if (--zones[machine.zone] == 0) zones.erase(machine.zone);
         ++zones[zone];
     }
@@ -217,11 +218,11 @@
 void ClusterState::request_commands(Machine& machine) {
     if (machine.worker.needs_commands) return;
     machine.worker.needs_commands = true;
-    needing_commands_.push_back(&machine);
+    machines_needing_commands_.push_back(&machine);
 }
 
 std::vector<Machine*> ClusterState::take_machines_needing_commands() {
-    return std::exchange(needing_commands_, {});
+    return std::exchange(machines_needing_commands_, {});
 }
 
 void ClusterState::detach_from_scale_out(const Machine& machine) {
@@ -236,7 +237,7 @@
     while (!machine.placements.empty())
         remove_placement(machine, machine.placements.begin()->first);
     detach_from_scale_out(machine);
-    std::erase(needing_commands_, &machine);
+    std::erase(machines_needing_commands_, &machine);
     const auto host = machine.host;
     machines_.erase(host);
 }
@@ -254,9 +255,9 @@
     ++job.placed_count;
     ++job.placements_by_zone[machine.zone];
     machine.allocated.add(job.task_resources());
-    auto& use = use_[job.spec.team];
-    use.cpus += job.spec.cores;
-    use.gpus += job.spec.accelerators;
+    auto& usage = team_usage_[job.spec.team];
+    usage.cpus += job.spec.cores;
+    usage.gpus += job.spec.accelerators;
     machine.idle_since = context_.now();
 }
 
@@ -267,21 +268,21 @@
 void ClusterState::place(Job& job, Machine& machine) {
     const auto index = job.pending_tasks.back();
     job.pending_tasks.pop_back();
-    Placement p;
-    p.attempt = Attempt(++next_attempt_);
-    p.placed_at = context_.now();
-    attach(machine, job, index, p);
+    Placement placement;
+    placement.attempt = Attempt(++next_attempt_);
+    placement.placed_at = context_.now();
+    attach(machine, job, index, placement);
     mark_progress_dirty(job, index, CommitUrgency::prompt);
 }
 
 void ClusterState::restore_placement(Job& job, std::uint32_t index, Machine& machine,
                                      Attempt attempt) {
-    Placement p;
-    p.attempt = attempt;
-    p.commit = CommitState::committed;
-    p.start.delivery = StartDelivery::awaiting_confirmation;
-    p.placed_at = context_.now();
-    attach(machine, job, index, p);
+    Placement placement;
+    placement.attempt = attempt;
+    placement.commit = CommitState::committed;
+    placement.start.delivery = StartDelivery::awaiting_confirmation;
+    placement.placed_at = context_.now();
+    attach(machine, job, index, placement);
 }
 
 void ClusterState::remove_placement(Machine& machine, PlacementKey key) {
@@ -298,29 +299,29 @@
     task.placement = nullptr;
     --job.placed_count;
     if (--job.placements_by_zone[machine.zone] == 0) job.placements_by_zone.erase(machine.zone);
-    auto& use = use_[job.spec.team];
-    use.cpus -= job.spec.cores;
-    use.gpus -= job.spec.accelerators;
-    if (use.cpus < kLeastUse) use.cpus = 0;
-    if (use.gpus < kLeastUse) use.gpus = 0;
+    auto& usage = team_usage_[job.spec.team];
+    usage.cpus -= job.spec.cores;
+    usage.gpus -= job.spec.accelerators;
+    if (usage.cpus < kUsageEpsilon) usage.cpus = 0;
+    if (usage.gpus < kUsageEpsilon) usage.gpus = 0;
     if (job.state == JobState::active && !task.done) job.pending_tasks.push_back(index);
     machine.idle_since = context_.now();
     mark_progress_dirty(job, index, CommitUrgency::batched);
 }
 
-void ClusterState::stop_task(Placement& p, double grace_s) {
-    if (p.stop.requested) return;
-    p.stop.requested = true;
-    p.stop.grace = Seconds(grace_s);
-    p.machine->releasing.add(p.job->task_resources());
-    request_commands(*p.machine);
+void ClusterState::stop_task(Placement& placement, double grace_s) {
+    if (placement.stop.requested) return;
+    placement.stop.requested = true;
+    placement.stop.grace = Seconds(grace_s);
+    placement.machine->releasing.add(placement.job->task_resources());
+    request_commands(*placement.machine);
 }
 
-void ClusterState::set_running(Placement& p, bool running) {
-    const bool was = p.running_since != Instant{};
-    if (was == running) return;
-    p.running_since = running ? context_.now() : Instant{};
-    running ? ++p.job->running_count : --p.job->running_count;
+void ClusterState::set_running(Placement& placement, bool running) {
+    const bool was_running = placement.running_since != Instant{};
+    if (was_running == running) return;
+    placement.running_since = running ? context_.now() : Instant{};
+    running ? ++placement.job->running_count : --placement.job->running_count;
 }
 
 // ---- scale-out requests ----
@@ -331,16 +332,16 @@
     dirty_.mark(kScaleOutPrefix + request.idempotency_key, CommitUrgency::prompt);
 }
 
-void ClusterState::restore_scale_out(ScaleOutRecord rental) {
-    const auto key = rental.request.idempotency_key;
-    if (!rental.answered) unanswered_scale_outs_.insert(key);
-    for (const auto& host : rental.hosts) {
+void ClusterState::restore_scale_out(ScaleOutRecord record) {
+    const auto key = record.request.idempotency_key;
+    if (!record.answered) unanswered_scale_outs_.insert(key);
+    for (const auto& host : record.hosts) {
         auto& machine = create_machine(host);
-        set_machine_properties(machine, rental.request.machine_type, rental.request.zone,
-                               rental.request.spot);
+        set_machine_properties(machine, record.request.machine_type, record.request.zone,
+                               record.request.spot);
         machine.scale_out_key = key;
     }
-    scale_outs_.emplace(key, std::move(rental));
+    scale_outs_.emplace(key, std::move(record));
 }
 
 void ClusterState::apply_scale_out_response(const std::string& idempotency_key,
@@ -348,20 +349,21 @@
     const auto it = scale_outs_.find(idempotency_key);
     if (it == scale_outs_.end()) return;
     unanswered_scale_outs_.erase(idempotency_key);
-    auto& rental = it->second;
-    rental.answered = true;
+    auto& record = it->second;
+    record.answered = true;
     for (const auto& host : hosts) {
         auto* known = find_machine(host);
-        // It may have reported before the scale-out request was answered.
+        // The worker may have sent a heartbeat before the scale-out request was answered; then the
+        // machine has a scale-out record of its own.
         if (known) detach_from_scale_out(*known);
         auto& machine = known ? *known : create_machine(host);
-        set_machine_properties(machine, rental.request.machine_type, rental.request.zone,
-                               rental.request.spot);
+        set_machine_properties(machine, record.request.machine_type, record.request.zone,
+                               record.request.spot);
         machine.scale_out_key = idempotency_key;
-        rental.hosts.insert(host);
+        record.hosts.insert(host);
     }
     dirty_.mark(kScaleOutPrefix + idempotency_key, CommitUrgency::batched);
-    if (rental.hosts.empty()) scale_outs_.erase(it);
+    if (record.hosts.empty()) scale_outs_.erase(it);
 }
 
 bool ClusterState::is_scale_out_committed(const std::string& idempotency_key) const {
--- a/src/state/cluster_state.hpp
+++ b/src/state/cluster_state.hpp
@@ -1,14 +1,15 @@
 /// \file
-/// The cluster state: which tasks are on which machines, what is done, and which scale-out requests
-/// are under way.
+/// The leader's cluster state: which tasks are placed on which machines, which tasks are done, and
+/// which scale-out requests are in progress.
 ///
-/// Only the leader has one. This is the model in memory, with its invariants: every change marks
-/// the records that it concerns as dirty. ClusterStateLoader reads it from the key-value store when
-/// a term begins, ClusterStateWriter writes what is dirty. A placement may be acted on only once it
-/// is `committed`.
+/// Only the leader holds a cluster state. ClusterState is the in-memory model and maintains its
+/// invariants: every change marks the affected records as dirty. ClusterStateLoader reads the state
+/// from the key-value store when a term begins, and ClusterStateWriter writes the dirty records. A
+/// placement may be acted on only once it is committed.
 ///
-/// Placements are recorded per job and range of its tasks, machines per scale-out request, so that
-/// the number of changes grows little with tasks and not with machines touched.
+/// Placements are recorded per range of a job's tasks, and machines per scale-out request, so that
+/// the number of writes grows slowly with the number of tasks and does not depend on the number of
+/// machines involved.
 #pragma once
 
 #include <cstdint>
@@ -37,85 +38,102 @@
 
 namespace dunebridge::state {
 
-/// The leader's cluster state in memory, with its invariants. Owned by the controller; used by one
-/// thread.
+/// The leader's in-memory cluster state. Owned by the controller and used by one thread only.
 class ClusterState {
   public:
-    ClusterState(sansio::Context& port, kv::KvClient& store,
+    /// All references must outlive the cluster state.
+    ClusterState(sansio::Context& context, kv::KvClient& kv_client,
                  const coordination::Election& election);
 
-    // ---- the term that it is for ----
+    // ---- term ----
 
-    /// Empties it for the term that has begun.
+    /// Clears the state and binds it to the term in which this node leads now.
     void begin_term();
     void clear();
-    /// Everything has been read; until then it may not be acted on.
+    /// Returns true once all records have been read. Until then the state must not be acted on.
     bool loaded() const { return loaded_; }
     void set_loaded() { loaded_ = true; }
+    /// The generation of the election for which begin_term() was last called.
     std::uint64_t generation() const { return generation_; }
-    /// Whether this node still leads in the term for which the cluster state was begun.
+    /// Returns true if the state is of this generation and this node still leads in its term.
     bool is_current(std::uint64_t generation) const;
-    /// Whether it may be acted on in that term.
+    /// Returns true if the state is current for the generation and loaded.
     bool usable_in(std::uint64_t generation) const { return loaded_ && is_current(generation); }
 
     // ---- jobs ----
 
-    /// From its record at that revision; null if the job is known already.
+    /// Adds a job from its record, which was read at `revision`. Returns null if the job is known
+    /// already.
     Job* add_job(kv::JobRecord record, KeyRevision revision);
-    /// A job of which only progress is left on record: it is over.
+    /// Adds a terminal job whose own record is gone and of which only progress records remain.
     Job& add_terminal_job(const JobId& id);
+    /// Makes the job terminal because a terminal record of it exists; has no effect if it is
+    /// unknown or terminal already, or if this leader is committing its terminal record. `at_ms` is
+    /// when it ended, in wall clock milliseconds; 0 means now. Placements that are not committed
+    /// are removed; workers are told to stop the others.
     void mark_terminal(const JobId& id, std::int64_t at_ms);
-    /// The end is committed, and is this one: the jobs that wait for it go on, or end with it.
-    void handle_job_end(const JobId& id, wire::JobPhase how) {
-        dependencies_.handle_job_end(id, how);
+    /// To be called once the job's terminal record is committed: jobs that depend on it become
+    /// runnable, or are cancelled if it was cancelled.
+    void handle_job_end(const JobId& id, wire::JobPhase final_phase) {
+        dependencies_.handle_job_end(id, final_phase);
     }
+    /// Returns null if the job is unknown.
     Job* find_job(const JobId& id);
     std::map<JobId, Job>& jobs() { return jobs_; }
     DependencyGraph& dependencies() { return dependencies_; }
     void mark_done(Job& job, std::uint32_t index);
     void mark_preemption_protected(Job& job, std::uint32_t index);
-    /// Ends the job if all of its tasks are done.
+    /// Starts to commit the job's terminal record if all of its tasks are done.
     void finish_if_done(Job& job);
-    /// Forgets ended jobs that have left no trace on any machine.
+    /// Forgets terminal jobs that have no placement left, and marks their records for deletion.
     void forget_terminal_jobs();
 
     // ---- machines ----
 
-    /// A machine that no scale-out request's answer has named.
+    /// Adds a machine that no response to a scale-out request has named, and creates a scale-out
+    /// record for it. If the machine is known, only its properties are updated.
     Machine& add_machine(const MachineName& host, const std::string& machine_type,
                          const std::string& zone, bool spot);
-    /// A machine that a record names.
+    /// Adds a machine that a record names. Its type and zone are unknown until
+    /// set_machine_properties() is called.
     Machine& create_machine(const MachineName& host);
+    /// Returns null if the machine is unknown.
     Machine* find_machine(const MachineName& host);
     std::map<MachineName, Machine>& machines() { return machines_; }
-    /// What a machine is, where its record does not say.
+    /// Sets the properties of a machine. Clears its capacity if the type changes.
     void set_machine_properties(Machine& machine, const std::string& machine_type,
                                 const std::string& zone, bool spot);
-    /// The machine is proved gone, and so is everything on it.
+    /// Removes the machine and all of its placements. The caller must have proof that the machine
+    /// no longer exists.
     void remove_machine(Machine& machine);
+    /// Requests that direct commands are sent to the machine's worker.
     void request_commands(Machine& machine);
-    /// Those for which commands have been requested since the last call.
+    /// Returns the machines for which commands have been requested since the last call.
     std::vector<Machine*> take_machines_needing_commands();
 
     // ---- placements ----
 
+    /// Places the job's next pending task on the machine. The job must have a pending task.
     void place(Job& job, Machine& machine);
-    /// A placement that is on record.
+    /// Adds a placement that is on record.
     void restore_placement(Job& job, std::uint32_t index, Machine& machine, Attempt attempt);
-    /// The placement is proved gone (or was never sent). The task waits again unless it is done.
+    /// Removes a placement. The caller must have proof that the task is not on the machine any
+    /// more, or was never sent there. The task becomes pending again unless it is done.
     void remove_placement(Machine& machine, PlacementKey key);
     void set_running(Placement& placement, bool running);
-    /// Has the task stopped by a command to its worker, unless it is being stopped already; its
-    /// resources count as about to be released. The task may save a checkpoint for `grace_s`
+    /// Requests that the worker stops the task; has no effect if that is requested already. The
+    /// resources of the task count as being released. The task may save a checkpoint for `grace_s`
     /// seconds first.
     void stop_task(Placement& placement, double grace_s);
-    const TeamUsage& team_usage(const std::string& team) { return use_[team]; }
+    const TeamUsage& team_usage(const std::string& team) { return team_usage_[team]; }
 
     // ---- scale-out requests ----
 
     void add_scale_out(const wire::ScaleOutRequest& request);
-    void restore_scale_out(ScaleOutRecord rental);
-    /// The cloud's answer: the machines that the request has brought. Without any it is over.
+    /// Adds a scale-out request that is on record, with its machines.
+    void restore_scale_out(ScaleOutRecord record);
+    /// Applies the cloud's response to a scale-out request: `hosts` are the machines that it
+    /// provisioned. If there are none, the request is finished and its record is deleted.
     void apply_scale_out_response(const std::string& idempotency_key,
                                   const std::vector<MachineName>& hosts);
     const std::map<std::string, ScaleOutRecord>& scale_outs() const { return scale_outs_; }
@@ -125,20 +143,21 @@
 
     // ---- records ----
 
-    /// The format of the records that are written.
+    /// The format in which records are written.
     std::uint64_t format() const { return format_; }
-    /// The format that a record says is in force.
+    /// Sets the format that the format mark in the key-value store names.
     void restore_format(std::uint64_t format) { format_ = format; }
-    /// Every controller knows the format: it may be written from now on, for good.
+    /// Switches to a newer record format, which every controller must be able to read. The switch
+    /// is permanent.
     void adopt_format(std::uint64_t format);
     Version version() const { return dirty_.version(); }
-    /// The record's changes up to this version are in the key-value store.
+    /// Returns true if the record's changes up to this version are in the key-value store.
     bool is_committed(const std::string& key, Version version) const {
         return dirty_.is_committed(key, version);
     }
     DirtyRecords& dirty() { return dirty_; }
     StoredRecords& stored() { return stored_; }
-    /// Whether a transaction with changes of the cluster state is under way.
+    /// Returns true while a transaction with changes of the cluster state is in progress.
     bool committing() const { return committing_; }
     void set_committing(bool committing) { committing_ = committing; }
 
@@ -160,8 +179,8 @@
     DependencyGraph dependencies_;
     std::map<std::string, ScaleOutRecord> scale_outs_;
     std::set<std::string> unanswered_scale_outs_;
-    std::vector<Machine*> needing_commands_;
-    std::unordered_map<std::string, TeamUsage> use_;
+    std::vector<Machine*> machines_needing_commands_;
+    std::unordered_map<std::string, TeamUsage> team_usage_;  // by team
 
     DirtyRecords dirty_;
     StoredRecords stored_;
