--- a/src/state/fencing_token.hpp
+++ b/src/state/fencing_token.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Fencing tokens, by which a worker refuses commands of leaders that have been superseded.
+/// Fencing tokens, which let a worker refuse commands of superseded leaders.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,20 @@
 
 namespace dunebridge::state {
 
-/// Width of the part of a token that is the machine's own counter.
-inline constexpr int kFenceBits = 20;
+/// Number of low bits of a token that hold the machine's fence counter.
+inline constexpr int kFenceCounterBits = 20;
 
-/// The token of a machine: the leader's term above a counter of the machine's own.
+/// Returns the token of a machine: the leader's term in the high bits, the machine's fence counter
+/// in the low bits.
 ///
-/// A worker refuses commands with a token below the highest that it has seen. The counter is raised
-/// within a term to shut out commands that may still be under way.
+/// A worker refuses commands with a token below the highest that it has seen. Within a term the
+/// counter is incremented to invalidate commands that may still be in transit.
 inline FencingToken make_token(Term term, std::uint64_t fence_counter) {
-    return FencingToken(term.get() << kFenceBits | fence_counter);
+    return FencingToken(term.get() << kFenceCounterBits | fence_counter);
 }
-/// The term of the leader that issued the token.
-inline Term term_of(FencingToken token) { return Term(token.get() >> kFenceBits); }
-/// The term of the leader that placed the attempt.
+/// Returns the term of the leader that issued the token.
+inline Term term_of(FencingToken token) { return Term(token.get() >> kFenceCounterBits); }
+/// Returns the term of the leader that placed the attempt.
 inline Term term_of(Attempt attempt) { return Term(attempt.get() >> kAttemptBits); }
 
 }  // namespace dunebridge::state
--- a/src/state/job.hpp
+++ b/src/state/job.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A job in the leader's cluster state: its tasks, its counters and what it depends on.
+/// A job in the leader's cluster state: its tasks, counters and dependencies.
 #pragma once
 
 #include <algorithm>
@@ -16,13 +16,15 @@
 
 namespace dunebridge::state {
 
-/// Where a job is in its life.
+/// The stage of a job's life cycle.
 enum class JobState : std::uint8_t {
-    /// Its tasks may be placed and run.
+    /// Tasks of the job may be placed and run.
     active,
-    /// Every task is done, or a job that it depends on is cancelled: its end is being committed.
+    /// All tasks are done, or a job that it depends on is cancelled. Its terminal record is not
+    /// committed yet: a cancellation by a user, which creates the same record, may still come
+    /// first.
     finishing,
-    /// Done or cancelled: none of its tasks may run.
+    /// The job is done or cancelled: none of its tasks may run.
     terminal
 };
 
@@ -32,77 +34,80 @@
 ///
 /// Written by ClusterState (and by ClusterStateLoader while it loads a term's records).
 struct Task {
-    /// Where the task is recorded to be; null if nowhere. A task has one placement at most.
+    /// The task's only placement; null if it has none.
     Placement* placement = nullptr;
     bool done = false;
-    /// The task has been stopped by preemption once, and must not be preempted again.
+    /// The task has been preempted once and must not be preempted again.
     bool preemption_protected = false;
 };
 
-/// A part of a job's tasks that has a progress record of its own in the key-value store.
+/// A range of a job's tasks that shares one progress record in the key-value store.
 struct TaskRange {
-    std::uint32_t from = 0;  ///< index of its first task
+    std::uint32_t from = 0;  ///< index of the first task
     std::uint32_t size = 0;  ///< number of tasks
-    std::string key;         ///< key of the record
+    std::string key;         ///< key of the progress record
 };
 
-/// The evidence that a job's tasks fail for a reason of the job's own.
+/// Evidence that a job's tasks fail because of the job and not because of the machines.
 ///
 /// Written by workers::FailureAttribution.
 struct JobFailures {
-    /// Machines on which its tasks have failed since one of them last succeeded.
+    /// Machines on which tasks of the job have failed since a task of the job last succeeded.
     std::set<MachineName> machines;
-    /// Its tasks are taken to fail on every machine.
+    /// The job's tasks are assumed to fail on every machine.
     bool faulty = false;
 };
 
-/// The time for which no task of a job is placed after errors and refusals.
+/// The time for which no task of a job is placed after failures and refusals.
 ///
 /// Written by workers::FailureAttribution, and by TransactionBuilder when a record cannot hold all
 /// of the job's new placements.
 struct JobBackoff {
     /// No task of the job is placed before this time.
     Instant until{};
-    /// Length of the last backoff after a failure; the next one is longer. Zero after a success.
+    /// Length of the last backoff after a failure; the next one is longer. Zero once a task has
+    /// succeeded.
     Millis length{0};
 };
 
-/// What a job depends on, and what the jobs that depend on it require of it.
+/// A job's dependencies, and the priority and deadline that it inherits from dependent jobs.
 ///
-/// Written by DependencyGraph; ClusterState sets the initial values, ClusterStateLoader counts the
-/// records that it has read.
+/// Written by DependencyGraph; ClusterState sets the initial values, and apply_dependency_record()
+/// counts the records that have been read.
 struct JobDependencies {
-    /// Jobs that it depends on and that are not known to be done. While there are any, no task of
-    /// the job is placed.
+    /// Dependencies that are not known to be done. While there are any, no task of the job is
+    /// placed.
     std::set<JobId> unmet;
-    /// Number of its dependency records (dep/<id>/<n>) in the key-value store.
+    /// Number of the job's dependency records (dep/<id>/<n>) in the key-value store.
     std::uint64_t record_count = 0;
-    /// How many of these records have been read.
+    /// Number of these records that have been read.
     std::uint64_t records_read = 0;
-    /// A job that it depends on is cancelled, and this job is cancelled with it.
+    /// The job is cancelled because a job that it depends on was cancelled.
     bool cancelled = false;
-    /// When the last job that it depends on was done; without any, when it was submitted.
+    /// When the last of its dependencies was met; the submission time if it has none.
     Instant runnable_since{};
-    /// The highest priority of the job itself and of all jobs that depend on it.
+    /// The highest priority of the job and of all its direct and indirect dependents.
     wire::Priority effective_priority = wire::Priority::idle;
-    /// The latest end that lets the job and all jobs that depend on it meet their deadlines.
+    /// The latest end with which the job and all its dependents can meet their deadlines;
+    /// Instant::max() without any deadline.
     Instant latest_end = Instant::max();
 
     bool all_records_read() const { return records_read >= record_count; }
 };
 
-/// Number of tasks of a faulty job that are tried at a time.
-inline constexpr std::size_t kFaultyJobTasks = 2;
+/// Maximum number of a faulty job's tasks that are placed at the same time.
+inline constexpr std::size_t kMaxFaultyJobTasks = 2;
 
 /// A job as the leader knows it.
 ///
-/// Fields outside the grouped types are written by ClusterState, which keeps the counters
-/// consistent with the tasks, and by ClusterStateLoader while it loads a term's records.
+/// Unless noted at a field or its type, fields are written by ClusterState, which keeps the
+/// counters consistent with the tasks, and by ClusterStateLoader while it loads a term's records.
 struct Job {
     wire::JobSpec spec;
-    /// The records that hold its tasks' progress: all of its tasks, in order of index.
+    /// The ranges of its progress records, in order of index. Together they cover all tasks.
     std::vector<TaskRange> ranges;
-    /// Order of arrival at this leader; unique in a term, and never 0.
+    /// Sequence number in the order in which this leader learned of its jobs; unique in a term, and
+    /// never 0.
     std::uint64_t sequence = 0;
     Instant submitted_at{};
     JobState state = JobState::active;
@@ -113,27 +118,29 @@
     std::vector<std::uint32_t> pending_tasks;
     std::uint32_t done_count = 0;     ///< number of tasks that are done
     std::uint32_t placed_count = 0;   ///< number of tasks that have a placement
-    std::uint32_t running_count = 0;  ///< number of placed tasks that a worker shows as running
-    /// Number of its placements by zone; "" where the zone is not known.
+    std::uint32_t running_count = 0;  ///< number of placed tasks that workers report as running
+    /// Number of placements in each zone; "" stands for an unknown zone.
     std::map<std::string, std::uint32_t> placements_by_zone;
 
     JobDependencies dependencies;
     JobFailures failures;
     JobBackoff backoff;
 
-    /// How many more of its tasks may be placed now, whatever its team's quota is.
+    /// Returns how many more tasks of the job may be placed now, not considering its team's quota.
     std::size_t placeable_tasks() const {
         if (!failures.faulty) return pending_tasks.size();
-        return std::min(pending_tasks.size(),
-                        kFaultyJobTasks - std::min<std::size_t>(placed_count, kFaultyJobTasks));
+        return std::min(
+            pending_tasks.size(),
+            kMaxFaultyJobTasks - std::min<std::size_t>(placed_count, kMaxFaultyJobTasks));
     }
-    /// Whether some task of it has been given a machine.
+    /// Returns true if a task of the job is placed or done.
     bool has_started() const { return done_count > 0 || placed_count > 0; }
-    /// Whether no task of it may start yet, because of jobs that it depends on.
+    /// Returns true if no task of the job may start yet, because dependencies are unmet or not
+    /// read.
     bool is_blocked() const {
         return !dependencies.unmet.empty() || !dependencies.all_records_read();
     }
-    /// What one task takes of its machine.
+    /// Returns the resources that one task requires.
     Resources task_resources() const { return {spec.cores, spec.accelerators, spec.ram_gb}; }
 };
 
--- a/src/state/machine.hpp
+++ b/src/state/machine.hpp
@@ -14,13 +14,13 @@
 
 namespace dunebridge::state {
 
-/// A machine kept free for a job that has waited long and fits nowhere yet.
+/// Reservation of a machine for a job that has waited long and fits on no machine yet.
 ///
 /// Written by the scheduler.
 struct Reservation {
     /// Sequence number of the job; 0 if the machine is not reserved.
     std::uint64_t job_sequence = 0;
-    /// When the last reservation began; it stays when the reservation ends.
+    /// When the latest reservation began; keeps its value after that reservation ends.
     Instant since{};
 
     bool active() const { return job_sequence != 0; }
@@ -28,24 +28,24 @@
 
 /// A machine of the fleet.
 ///
-/// Fields outside the grouped types are written by ClusterState.
+/// Unless noted at a field or its type, fields are written by ClusterState.
 struct Machine {
     MachineName host;
     std::string machine_type;
     std::string zone;
     bool spot = false;
-    /// Idempotency key of the scale-out request that brought it.
+    /// Idempotency key of the scale-out request that provisioned the machine.
     std::string scale_out_key;
     std::map<PlacementKey, Placement> placements;
-    /// What its type has; nothing until that is known. Written by provisioning::ScaleIn, and
-    /// cleared by ClusterState when the type changes.
+    /// Resources of the machine type; zero until they are known. Written by provisioning::ScaleIn,
+    /// and cleared by ClusterState when the type changes.
     Resources capacity;
-    /// What its placements take.
+    /// Resources that the machine's placements use.
     Resources allocated;
-    /// The part of `allocated` that placements being stopped will free.
+    /// The part of `allocated` that will be free once the tasks being stopped have exited.
     Resources releasing;
-    /// Since when it has had nothing placed or removed. Also set by workers::HeartbeatProcessor
-    /// with the first heartbeat.
+    /// When a placement was last added or removed. Also set by workers::HeartbeatProcessor at the
+    /// first heartbeat.
     Instant idle_since{};
 
     WorkerStatus worker;
--- a/src/state/placement.hpp
+++ b/src/state/placement.hpp
@@ -13,53 +13,53 @@
 struct Job;
 struct Machine;
 
-/// Attempt numbers hold the leader's term above a counter of so many bits. They grow from leader to
-/// leader without being stored.
+/// Number of low bits of an attempt number that hold a counter; the high bits hold the leader's
+/// term. Attempt numbers therefore increase from one leader to the next without being stored.
 inline constexpr int kAttemptBits = 28;
 
-/// Whether a placement is on record in the key-value store. It may be acted on only once it is.
+/// Whether a placement is recorded in the key-value store. It may be acted on only when committed.
 enum class CommitState : std::uint8_t {
-    uncommitted,     ///< not on record, and in no transaction under way
-    in_transaction,  ///< the transaction under way records it
-    committed        ///< on record
+    uncommitted,     ///< not recorded, and not in the transaction in progress
+    in_transaction,  ///< recorded by the transaction in progress
+    committed        ///< recorded
 };
 
-/// How the command that starts a placement's task has left this leader.
+/// How this leader has sent the command that starts a placement's task.
 enum class StartDelivery : std::uint8_t {
-    /// Not on its way: certainly not sent, or known not to have been executed.
+    /// Not sent, or known not to have been executed.
     not_sent,
-    /// In the direct command that is under way.
+    /// In the direct command that is in progress.
     in_direct_command,
-    /// In the reply to a heartbeat; the worker's next heartbeat shows whether it arrived.
+    /// Sent in the reply to a heartbeat; the worker's next heartbeat shows whether it arrived.
     in_heartbeat_reply,
-    /// Sent; a heartbeat that shows the current fencing token tells whether the task is there.
+    /// Sent; a heartbeat with the current fencing token shows whether the worker has the task.
     awaiting_confirmation
 };
 
-/// What has become of the command that starts a placement's task.
+/// The delivery status of the command that starts a placement's task.
 ///
 /// Written by workers::CommandDispatcher, which sends it, and workers::HeartbeatProcessor, which
 /// reconciles it with workers' heartbeats. ClusterState sets it for restored placements.
 struct StartStatus {
     StartDelivery delivery = StartDelivery::not_sent;
     /// The reply to the worker's last heartbeat carried the command. Until the next heartbeat the
-    /// worker may execute it, whatever becomes of a direct command that repeats it.
+    /// worker may execute it, whatever the outcome of a direct command that repeats it.
     bool in_heartbeat_reply = false;
-    /// The fence counter from which the worker refuses a late repeat of the direct command that
-    /// started the task; 0 if no direct command did.
+    /// The lowest fence counter with which the worker refuses a late duplicate of the direct
+    /// command that started the task; 0 if no direct command started it.
     std::uint64_t fenced_from = 0;
-    /// The newest agent epoch to which this leader sent the command or in which it saw the task;
-    /// 0 for neither.
+    /// The newest agent epoch in which this leader sent the command or a heartbeat listed the task;
+    /// 0 if there is none.
     std::uint64_t agent_epoch = 0;
 };
 
-/// What the worker's heartbeats have shown of a placement's task.
+/// The status of a placement's task in the worker's heartbeats.
 ///
 /// Written by workers::HeartbeatProcessor.
 struct ObservedTask {
-    /// Some heartbeat has listed the task.
+    /// A heartbeat has listed the task.
     bool seen = false;
-    /// Its phase in the last heartbeat that listed it.
+    /// The phase of the task in the last heartbeat that listed it.
     wire::TaskPhase phase = wire::TaskPhase::other;
 };
 
@@ -67,17 +67,17 @@
 struct StopRequest {
     /// Written by ClusterState::stop_task.
     bool requested = false;
-    /// The task is stopped by preemption; it is protected from a second one. Written by the
+    /// The task is stopped by preemption and will be protected from a second one. Written by the
     /// scheduler.
     bool preempted = false;
-    /// Time that the worker leaves the task to save a checkpoint. Written by
+    /// Time that the worker gives the task to save a checkpoint. Written by
     /// ClusterState::stop_task.
     Seconds grace{0};
 };
 
 /// One attempt at a task, assigned to a machine.
 ///
-/// Owned by its Machine. Fields outside the grouped types are written by ClusterState.
+/// Owned by its Machine. Unless noted at a field or its type, fields are written by ClusterState.
 struct Placement {
     Job* job = nullptr;
     Machine* machine = nullptr;
@@ -86,7 +86,7 @@
     /// Written by ClusterStateWriter and TransactionBuilder.
     CommitState commit = CommitState::uncommitted;
     Instant placed_at{};
-    /// Since when the worker has shown the task as running; Instant{} while it does not.
+    /// Since when the worker has reported the task as running; Instant{} if it does not.
     Instant running_since{};
     StartStatus start;
     ObservedTask observed;
@@ -97,7 +97,7 @@
     TaskRef ref() const;
 };
 
-/// The order of a machine's placements: those of earlier jobs first.
+/// Key of a placement on its machine. Orders the placements of earlier jobs first.
 struct PlacementKey {
     std::uint64_t job_sequence = 0;
     std::uint32_t index = 0;
--- a/src/state/team_usage.hpp
+++ b/src/state/team_usage.hpp
@@ -1,10 +1,10 @@
 /// \file
-/// What a team's placements take.
+/// Resource usage of a team.
 #pragma once
 
 namespace dunebridge::state {
 
-/// What all placements of a team take, in cores and accelerators. Written by ClusterState.
+/// Cores and accelerators used by all placements of a team. Written by ClusterState.
 struct TeamUsage {
     double cpus = 0;
     double gpus = 0;
