--- a/src/state/instance_status.hpp
+++ b/src/state/instance_status.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the cloud's answers to this term's leader say of a machine.
+/// The state of a machine according to the cloud.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,30 @@
 
 namespace dunebridge::state {
 
-/// What the cloud's answers to this term's leader say of a machine.
+/// The state of a machine according to the cloud's responses to the leader of the current term.
 ///
 /// Written by the package provisioning; ClusterState sets provisioned_at when it creates the
-/// machine, and workers::HeartbeatProcessor ends `starting` with the first heartbeat.
+/// machine, and workers::HeartbeatProcessor clears `starting` at each heartbeat.
 struct InstanceStatus {
-    /// When the machine was provisioned, as far as the cloud's list shows it.
+    /// When the machine was provisioned, as far as the cloud's machine list shows it.
     Instant provisioned_at{};
+    /// The machine is starting: the cloud's machine list shows it so, or no list and no heartbeat
+    /// has been received yet.
     bool starting = true;
-    /// Requested in this term and not up yet: provisioning::BootMonitor follows it.
+    /// The machine was requested in this term and is still starting; provisioning::BootMonitor
+    /// watches it.
     bool boot_tracked = false;
-    /// It should be up by now.
+    /// The machine has not started within the expected time.
     bool overdue = false;
-    /// It is overdue, and the fleet may be scaled out by another machine in its place.
+    /// The machine is overdue, and another one may be requested in its place.
     bool replacement_allowed = false;
-    /// The cloud's list has shown it.
+    /// The cloud's machine list has contained the machine.
     bool listed = false;
-    /// How many lists of the cloud in a row did not show it.
+    /// Number of consecutive machine lists without the machine.
     std::uint32_t missed_listings = 0;
-    /// The cloud says that it has failed.
+    /// The cloud reports the machine as failed.
     bool failed = false;
-    /// This leader has asked the cloud to delete it.
+    /// This leader has requested the deletion of the machine.
     bool deleting = false;
 };
 
--- a/src/state/released_machines.cpp
+++ b/src/state/released_machines.cpp
@@ -3,14 +3,15 @@
 namespace dunebridge::state {
 
 namespace {
-// Longer than any message about a deleted machine is under way.
-constexpr Millis kRememberFor{900000};
+// Longer than any message about a deleted machine can be delayed.
+constexpr Millis kRetentionTime{900000};
 }  // namespace
 
 void ReleasedMachines::add(const MachineName& host) {
     deleted_at_[host] = context_.now();
-    std::erase_if(deleted_at_,
-                  [&](const auto& entry) { return context_.now() - entry.second > kRememberFor; });
+    std::erase_if(deleted_at_, [&](const auto& entry) {
+        return context_.now() - entry.second > kRetentionTime;
+    });
 }
 
 }  // namespace dunebridge::state
--- a/src/state/released_machines.hpp
+++ b/src/state/released_machines.hpp
@@ -9,19 +9,20 @@
 
 namespace dunebridge::state {
 
-/// Remembers for a while which machines have been deleted.
+/// Remembers for 15 minutes which machines have been deleted.
 ///
-/// Late heartbeats, late rows of the cloud's machine list and late answers to scale-out requests
-/// may still name such a machine, and must not bring it back.
+/// Delayed heartbeats, machine lists and responses to scale-out requests may still name such a
+/// machine, and must not add it to the cluster state again.
 class ReleasedMachines {
   public:
+    /// The context must outlive this object.
     explicit ReleasedMachines(const sansio::Context& context) : context_(context) {}
 
-    /// Records that the cloud has confirmed the deletion, and forgets old ones.
+    /// Adds a machine whose deletion the cloud has confirmed, and removes expired entries.
     void add(const MachineName& host);
-    /// Returns true if the machine has been deleted lately.
+    /// Returns true if the machine has been deleted recently.
     bool contains(const MachineName& host) const { return deleted_at_.contains(host); }
-    /// Forgets all of them; to be called when a term begins.
+    /// Removes all entries. To be called when a term begins.
     void clear() { deleted_at_.clear(); }
 
   private:
--- a/src/state/run_time_estimator.cpp
+++ b/src/state/run_time_estimator.cpp
@@ -5,21 +5,21 @@
 namespace dunebridge::state {
 
 namespace {
-constexpr double kLearnRate = 0.1;  // weight of the newest task
-constexpr double kLeastRatio = 0.1;
-constexpr double kMostRatio = 10.0;
+constexpr double kSmoothingFactor = 0.1;  // weight of the newest run time in the moving average
+constexpr double kMinRatio = 0.1;
+constexpr double kMaxRatio = 10.0;
 }  // namespace
 
 double RunTimeEstimator::expected_s(const state::Job& job) const {
-    const auto it = class_ratio_.find(job.spec.job_class);
-    return job.spec.expected_s * (it == class_ratio_.end() ? 1.0 : it->second);
+    const auto it = class_ratios_.find(job.spec.job_class);
+    return job.spec.expected_s * (it == class_ratios_.end() ? 1.0 : it->second);
 }
 
-void RunTimeEstimator::record_run_time(const state::Job& job, double ran_s) {
+void RunTimeEstimator::record_run_time(const state::Job& job, double run_time_s) {
     if (job.spec.expected_s <= 0) return;
-    const double ratio = std::clamp(ran_s / job.spec.expected_s, kLeastRatio, kMostRatio);
-    auto [it, added] = class_ratio_.try_emplace(job.spec.job_class, ratio);
-    if (!added) it->second += kLearnRate * (ratio - it->second);
+    const double ratio = std::clamp(run_time_s / job.spec.expected_s, kMinRatio, kMaxRatio);
+    auto [it, added] = class_ratios_.try_emplace(job.spec.job_class, ratio);
+    if (!added) it->second += kSmoothingFactor * (ratio - it->second);
 }
 
 }  // namespace dunebridge::state
--- a/src/state/worker_liveness.hpp
+++ b/src/state/worker_liveness.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a machine's worker can be reached, as far as its heartbeats show.
+/// Checks of whether a machine's worker is reachable, according to its heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,18 @@
 
 namespace dunebridge::state {
 
-/// Number of replies that may be lost one after the other before a machine counts as unresponsive.
+/// Number of consecutive unacknowledged replies at which a machine counts as unresponsive.
 inline constexpr std::uint32_t kMaxUnacknowledgedReplies = 3;
 
-/// Returns true if the worker's heartbeats arrive, but it acknowledges none of the replies.
+/// Returns true if the worker's heartbeats arrive but it does not acknowledge the replies.
 inline bool is_unresponsive(const Machine& machine) {
     return machine.worker.unacknowledged_replies >= kMaxUnacknowledgedReplies;
 }
 
-/// Answers questions about the worker of a machine at the present time. Has no state of its own.
+/// Stateless checks of a machine's worker at the current time.
 ///
-/// Workers' heartbeats, scale-in and the scheduler share it, so that they agree on which machines
-/// can be given work. The objects given to the constructor must outlive it.
+/// Heartbeat processing, scale-in and the scheduler share them, so that they agree on which
+/// machines can be given work. The objects passed to the constructor must outlive this one.
 class WorkerLiveness {
   public:
     WorkerLiveness(const sansio::Context& context, const coordination::Election& election,
@@ -32,17 +32,17 @@
 
     /// Returns true if the machine can be given work now.
     ///
-    /// Its worker must have shown a token of this term. A late copy of an earlier heartbeat could
-    /// not show one, so the worker is there and replies reach it.
+    /// The worker must have sent a fencing token of this term. A delayed heartbeat of an earlier
+    /// term cannot contain one, so the worker is alive and receives replies.
     bool is_schedulable(const Machine& machine) const;
-    /// Returns true if the worker has shown a fencing token of this leader's term.
+    /// Returns true if a heartbeat of the worker contained a fencing token of the current term.
     bool has_acknowledged_current_term(const Machine& machine) const;
     /// Returns true if no heartbeat has arrived for longer than `limit`.
     bool is_silent(const Machine& machine, Millis limit) const;
-    /// Returns true if two heartbeats in a row have not arrived.
+    /// Returns true if two consecutive heartbeats are missing.
     bool is_late(const Machine& machine) const;
-    /// The least time for which heartbeats have arrived without acknowledging any reply; zero if
-    /// the worker does acknowledge replies.
+    /// Returns the minimum time for which heartbeats have arrived without acknowledging a reply;
+    /// zero unless the worker is unresponsive.
     Millis unresponsive_for(const Machine& machine) const;
 
   private:
--- a/src/state/worker_status.hpp
+++ b/src/state/worker_status.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What the leader of the current term knows of a machine's worker.
+/// The status of a machine's worker as known to the leader of the current term.
 #pragma once
 
 #include <cstdint>
@@ -14,52 +14,53 @@
 
 namespace dunebridge::state {
 
-/// A task that the worker lists as exited. It is cleared from the worker once its outcome is
-/// committed.
+/// A task that the worker lists as exited. The worker is told to clear it from its list once the
+/// outcome is committed.
 struct ExitedTask {
     TaskRef task;
     Attempt attempt;
-    /// Key of the record that must hold the outcome; empty if there is none.
+    /// Key of the progress record in which the outcome must be committed; empty if there is none.
     std::string record_key;
-    /// Version of the cluster state that holds the outcome.
+    /// Version of the cluster state that contains the outcome.
     Version outcome_version = 0;
     /// As in StartStatus::fenced_from.
     std::uint64_t fenced_from = 0;
 };
 
-/// A task that a heartbeat lists and no record names.
+/// A task that a heartbeat lists and no progress record contains.
 struct UnrecordedTask {
     TaskRef task;
     Attempt attempt;
 };
 
-/// What the leader of the current term knows of a machine's worker.
+/// The status of a machine's worker as known to the leader of the current term.
 ///
 /// Written by the package workers; ClusterState sets first_known_at and needs_commands.
 struct WorkerStatus {
-    /// Address at which it takes direct commands, as its last heartbeat gave it.
+    /// Address at which the worker accepts direct commands, from its last heartbeat.
     std::string endpoint;
-    /// When this term's leader first knew of the machine.
+    /// When the leader of this term first learned of the machine.
     Instant first_known_at{};
     /// A heartbeat has been applied in this term.
     bool heartbeat_received = false;
-    /// Sequence of the newest heartbeat that has been applied, whichever way it came.
+    /// Sequence of the newest heartbeat that has been applied: a request of the worker, or its
+    /// response to a direct command.
     HeartbeatSequence last_applied;
     /// Sequence of the newest heartbeat that the worker has sent as a request.
     HeartbeatSequence last_heartbeat_request;
     Instant last_heartbeat_at{};
-    /// When the worker's lease was last renewed by a reply, as late as it can have been.
+    /// The latest time at which a reply can have renewed the worker's lease.
     Instant last_reply_at{};
 
-    /// The highest fencing token that the worker has shown.
+    /// The highest fencing token that the worker's heartbeats have contained.
     FencingToken acknowledged_token;
-    /// The machine's own part of the fencing token that is current.
+    /// The fence counter in the machine's current fencing token.
     std::uint64_t fence_counter = 0;
-    /// Replies to heartbeats that carried the current token, since a heartbeat last showed it.
+    /// Number of replies with the current token since a heartbeat last contained that token.
     std::uint32_t unacknowledged_replies = 0;
     Instant unacknowledged_since{};
 
-    /// The worker is to get a direct command; ClusterState::request_commands sets it.
+    /// A direct command is to be sent to the worker. Set by ClusterState::request_commands.
     bool needs_commands = false;
     bool command_in_flight = false;
     /// No direct command is sent before this time.
@@ -67,18 +68,20 @@
 
     /// Tasks that the last heartbeat listed as exited.
     std::vector<ExitedTask> exited;
-    /// Tasks that the last heartbeat listed and no record names.
+    /// Tasks that the last heartbeat listed and no progress record contains.
     std::vector<UnrecordedTask> unrecorded_tasks;
 
-    /// Gets no new tasks before this time, as it has refused one.
+    /// The worker gets no new tasks before this time because it has refused one.
     Instant refusal_backoff_until{};
-    /// Gets no new tasks, and is scaled in once it has none: too many jobs failed on it.
+    /// The machine gets no new tasks and is scaled in once it has none, because tasks of too many
+    /// jobs failed on it.
     bool cordoned = false;
-    /// How often tasks of each job failed here since one of any job last succeeded.
+    /// Number of task failures on the machine by job, since a task of any job last succeeded on it.
     std::map<JobId, std::uint32_t> failures;
-    /// When the cloud takes the machine, as announced by a preemption notice.
+    /// When the cloud will reclaim the machine, according to its preemption notice.
     std::optional<Instant> preemption_at;
-    /// Images seen running here; they decide between equally good machines only.
+    /// Images of tasks that have run on the machine. Used only to choose between otherwise equally
+    /// suitable machines.
     std::set<std::string> images;
 };
 
