--- a/src/state/scale_out_record.hpp
+++ b/src/state/scale_out_record.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// A scale-out on record: the request to the cloud, and the machines that it brought.
+/// The record of a scale-out: the request to the cloud and the machines that it provided.
 #pragma once
 
 #include <set>
@@ -9,8 +9,8 @@
 
 namespace dunebridge::state {
 
-/// A request for machines, and once the cloud has answered it, those of its machines that are not
-/// proved gone. Written by ClusterState.
+/// A request for machines and, once the cloud has answered it, the machines that it provided and
+/// that are not known to be gone. Written by ClusterState.
 struct ScaleOutRecord {
     wire::ScaleOutRequest request;
     bool answered = false;
--- a/src/state/stored_records.hpp
+++ b/src/state/stored_records.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Which of the cluster state's records exist in the key-value store, and at which revision each
-/// was left. Ends are not among them: they are created once and never change.
+/// Which of the cluster state's records exist in the key-value store, and the revision of each.
+/// Terminal records are not tracked: they are created once and never change.
 #pragma once
 
 #include <string>
@@ -10,19 +10,19 @@
 
 namespace dunebridge::state {
 
-/// The revisions at which the leader left its records in the key-value store.
+/// The revision at which this leader last read or wrote each of its records.
 class StoredRecords {
   public:
     void clear() { revisions_.clear(); }
     bool contains(const std::string& key) const { return revisions_.contains(key); }
-    /// The revision that a transaction on the record is guarded with; that of an absent key if the
-    /// record does not exist.
+    /// Returns the revision for a precondition on the record: if the record does not exist, the
+    /// default, which stands for an absent key.
     KeyRevision revision(const std::string& key) const {
         const auto it = revisions_.find(key);
         return it == revisions_.end() ? KeyRevision() : it->second;
     }
     void set(const std::string& key, KeyRevision revision) { revisions_[key] = revision; }
-    /// Read late: a revision that is known already is at least as new.
+    /// For a record that was read late: a revision that is known already is at least as new.
     void set_if_unknown(const std::string& key, KeyRevision revision) {
         revisions_.try_emplace(key, revision);
     }
--- a/src/state/version.hpp
+++ b/src/state/version.hpp
@@ -6,8 +6,8 @@
 
 namespace dunebridge::state {
 
-/// Counts the changes made to the cluster state in memory. It grows for as long as the process
-/// lives, over all of its terms; it has nothing to do with revisions in the key-value store.
+/// Number of changes made to the cluster state in memory. It grows for as long as the process
+/// lives, across terms, and is unrelated to the revisions of the key-value store.
 using Version = std::uint64_t;
 
 }  // namespace dunebridge::state
--- a/src/state/while_in_term.hpp
+++ b/src/state/while_in_term.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Continuations that must not run once the term in which they were created is over.
+/// Wrapper for continuations that must not run after the term in which they were created.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 namespace dunebridge::state {
 
-/// Wraps a continuation of a call or a timer so that it is dropped once this node no longer leads
-/// in the term for which the cluster state was begun: by then the state is another one, or none.
-/// `cluster_state` must outlive the wrapper.
+/// Wraps the continuation of a call or a timer so that it does nothing once this node no longer
+/// leads in the term for which the cluster state was begun: by then the cluster state is empty or
+/// belongs to another term. `cluster_state` must outlive the wrapper.
 template <class... Results, class Continuation>
 std::function<void(const Results&...)> while_in_term(const ClusterState& cluster_state,
                                                      Continuation continuation) {
