--- a/src/state/pending_splits.cpp
+++ b/src/state/pending_splits.cpp
@@ -13,13 +13,13 @@
 }
 
 const std::set<std::string>& PendingSplits::parts_of(const std::string& split_record) const {
-    static const std::set<std::string> none;
+    static const std::set<std::string> no_parts;
     const auto it = parts_.find(split_record);
-    return it == parts_.end() ? none : it->second;
+    return it == parts_.end() ? no_parts : it->second;
 }
 
-void PendingSplits::split(const std::string& split_record, const std::string& key,
-                          const std::vector<TaskRange>& parts) {
+void PendingSplits::add_split(const std::string& split_record, const std::string& key,
+                              const std::vector<TaskRange>& parts) {
     auto& all_parts = parts_[split_record];
     all_parts.erase(key);
     split_records_.erase(key);
--- a/src/state/pending_splits.hpp
+++ b/src/state/pending_splits.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// Progress records that have become too large and whose parts have not been committed yet.
+/// Progress records that were split because they had become too large, and whose parts are not
+/// committed yet.
 ///
-/// All parts are written, and the split record is removed, in one transaction, so that no task is
-/// ever in two records or in none.
+/// One transaction writes all parts and removes the split record, so that every task is in exactly
+/// one stored record at any time.
 #pragma once
 
 #include <map>
@@ -14,28 +15,32 @@
 
 namespace dunebridge::state {
 
-/// Which records are split in memory while the key-value store still has them whole. Records are
-/// named by their keys. A part that grows too large before it is committed is split in its turn;
-/// its parts then belong to the record that is still stored.
+/// Keys of the records that are split in memory while the key-value store still holds them whole,
+/// and of their parts. If a part grows too large before it is committed, it is split as well; its
+/// parts then count as parts of the record that is still stored.
 class PendingSplits {
   public:
-    /// Forgets all splits: another term begins.
+    /// Forgets all splits. To be called when a term begins or ends.
     void clear();
-    /// The split record that this one is a part of; the record itself if it is a part of none.
+    /// Returns the key of the split record of which this record is a part, or `key` if there is
+    /// none.
     std::string split_record_of(const std::string& key) const;
-    /// Whether the record is split, and is to be removed in favour of its parts.
+    /// Returns whether the record is split and is to be replaced by its parts.
     bool is_split(const std::string& key) const { return parts_.contains(key); }
-    /// The parts of a split record; empty if the record is not split.
+    /// Returns the keys of the parts of a split record; empty if the record is not split.
     const std::set<std::string>& parts_of(const std::string& split_record) const;
-    /// Records that `key`, which is `split_record` or a part of it, is divided into `parts`.
-    void split(const std::string& split_record, const std::string& key,
-               const std::vector<TaskRange>& parts);
-    /// The transaction with all parts is committed: the split record is gone.
+    /// Registers that the record `key`, which is `split_record` or a part of it, is divided into
+    /// `parts`.
+    void add_split(const std::string& split_record, const std::string& key,
+                   const std::vector<TaskRange>& parts);
+    /// Registers that the transaction that replaces the split record by its parts is committed.
     void mark_committed(const std::string& split_record);
 
   private:
-    std::map<std::string, std::set<std::string>> parts_;  ///< Keys of the parts, by split record.
-    std::map<std::string, std::string> split_records_;    ///< Keys of split records, by part.
+    /// Keys of the parts, by key of the split record.
+    std::map<std::string, std::set<std::string>> parts_;
+    /// Key of the split record, by key of the part.
+    std::map<std::string, std::string> split_records_;
 };
 
 }  // namespace dunebridge::state
--- a/src/state/record_codec.cpp
+++ b/src/state/record_codec.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// ---- sets of tasks, as hexadecimal text: values may hold no binary data ----
+// ---- sets of tasks: bit sets in hexadecimal, because values must not contain binary data ----
 
 template <class Contains>
 std::string encode_task_set(std::uint32_t begin, std::uint32_t end, Contains contains) {
@@ -54,7 +54,7 @@
 
 // ---- placements: [machine, index, attempt, index, attempt, ...], one list for each machine ----
 
-// Indices are relative to the record's first task, attempts to its lowest one.
+// Encoded indices are relative to the record's first task, attempts to the lowest in the record.
 struct PlacementsByMachine {
     std::map<std::string_view, std::vector<const Placement*>> machines;
     std::uint64_t lowest_attempt = 0;
@@ -77,9 +77,9 @@
                       Writer& writer) {
     writer.text("base").count(placements.lowest_attempt);
     writer.text("tasks").list(placements.machines.size());
-    for (const auto& [machine, on_machine] : placements.machines) {
-        writer.list(1 + 2 * on_machine.size()).text(machine);
-        for (const auto* placement : on_machine) {
+    for (const auto& [machine, machine_placements] : placements.machines) {
+        writer.list(1 + 2 * machine_placements.size()).text(machine);
+        for (const auto* placement : machine_placements) {
             writer.count(placement->index - first_task);
             writer.count(placement->attempt.get() - placements.lowest_attempt);
         }
@@ -101,13 +101,13 @@
 
 // ---- versions and keys ----
 
-void require_oldest_format(wire::Value record) {
+void require_chunk_format(wire::Value record) {
     if (record["v"].count() != config::kChunkFormat) {
         throw DecodeError(wire::DecodeProblem::unknown_version);
     }
 }
 
-JobId job_of_progress_key(const std::string& key) {
+JobId job_id_of_progress_key(const std::string& key) {
     const auto slash = key.rfind('/');
     const auto start = std::string_view(kv::kProgressPrefix).size();
     if (slash == std::string::npos || slash <= start) throw DecodeError("key");
@@ -144,14 +144,14 @@
     return {writer.take(), writer.json_size()};
 }
 
-ProgressRecord decode_progress(const kv::Entry& row, std::uint64_t newest_format) {
-    const auto& value = row.value;
+ProgressRecord decode_progress(const kv::Entry& entry, std::uint64_t newest_format) {
+    const auto& value = entry.value;
     ProgressRecord record;
-    record.job = job_of_progress_key(row.key);
+    record.job = job_id_of_progress_key(entry.key);
     record.from = static_cast<std::uint32_t>(value["from"].need_count("from"));
     const bool is_range =
         value["v"].count() == config::kRangeFormat && newest_format >= config::kRangeFormat;
-    if (!is_range) require_oldest_format(value);
+    if (!is_range) require_chunk_format(value);
     record.size =
         is_range ? static_cast<std::uint32_t>(value["size"].need_count("size")) : kTasksPerChunk;
     if (record.size == 0 || record.size > kTasksPerChunk) throw DecodeError("size");
@@ -183,7 +183,7 @@
 }
 
 ScaleOutRecord decode_scale_out_record(wire::Value value) {
-    require_oldest_format(value);
+    require_chunk_format(value);
     ScaleOutRecord scale_out;
     scale_out.request = wire::decode_scale_out_request(value);
     scale_out.answered = value["hosts"].is_list();
