--- a/src/state/retried_transaction.cpp
+++ b/src/state/retried_transaction.cpp
@@ -12,32 +12,35 @@
 using kv::TransactionResult;
 
 namespace {
-// Most answers come within milliseconds. An attempt that is repeated too early costs a few writes
-// of the budget; one that is repeated late holds up every start.
+// Most responses come within milliseconds. A retry that is sent too early costs a few writes of the
+// budget; one that is sent late delays the start of every task.
 constexpr Millis kFirstTimeout{1200};
 constexpr Millis kTimeout{2500};
 constexpr Millis kRetryBackoff{120};
-// As many as a term can last: a key-value store that answers none of them is as good as down.
+// Without any response a term lasts for no more attempts than this: a key-value store that responds
+// to none of them is in effect down.
 constexpr int kMaxAttempts = 40;
 
 bool is_terminal_record(const wire::Write& write) {
     return write.key.starts_with(kv::kTerminalPrefix);
 }
 
-// A terminal record that is not the one this transaction creates: a user's cancellation came first.
-bool is_written_by_a_user(const wire::Write& write, const kv::GetResult& result) {
+// Returns whether the write creates a terminal record and the store holds a different one: a user's
+// cancellation was committed first.
+bool is_preceded_by_cancellation(const wire::Write& write, const kv::GetResult& result) {
     if (!is_terminal_record(write) || !write.value || !result.entry) return false;
     const auto own = wire::Document::parse(*write.value);
     return !own || kv::decode_terminal_record(own->root()) !=
                        kv::decode_terminal_record(result.entry->value);
 }
 
-// How well a record shows whether the transaction was applied; the higher the better.
+// How reliably a record that is read back shows whether the transaction was applied, in ascending
+// order.
 enum class Evidence : std::uint8_t {
     none,
-    terminal_record,  // other nodes may have written it: cancellations
-    removed_record,   // only the leader writes it, but its revision is gone
-    written_record    // its revision is that of the whole transaction
+    terminal_record,  // any node may have written it, for a cancellation
+    removed_record,   // only the leader writes it, but an absent record has no revision
+    written_record    // its revision is that of the transaction
 };
 
 Evidence evidence_of(const wire::Write& write) {
@@ -101,13 +104,13 @@
     } else if (!has_unanswered_attempt_ || result.outcome == TransactionOutcome::ok) {
         finish(result);
     } else if (result.outcome == TransactionOutcome::refused) {
-        // This attempt was not executed; an earlier one may yet be.
+        // This attempt was not executed, but an earlier one may still be.
         retry_or_give_up();
     } else if (result.outcome == TransactionOutcome::conflict) {
         resolve_conflict(result);
     } else {
-        // It cannot be sent again as it is, and may have been applied before: only a new term
-        // keeps an unanswered attempt out.
+        // The transaction cannot be sent again unchanged, and an attempt without a response may
+        // have been applied or may still be: only a new term rules out the latter.
         finish_with_unknown_outcome();
     }
 }
@@ -119,7 +122,8 @@
     return it == preconditions_.end() ? nullptr : &*it;
 }
 
-// The write whose record shows best whether the transaction was applied; null if none does.
+// Returns the write whose record shows most reliably whether the transaction was applied; null if
+// none does.
 const wire::Write* RetriedTransaction::write_to_read_back() const {
     const wire::Write* best = nullptr;
     auto best_evidence = Evidence::none;
@@ -145,8 +149,8 @@
     }
 }
 
-// Some precondition has failed for good: revisions only grow and terminal records stay. So an
-// attempt that has not been applied by now never will be.
+// Some precondition has failed and can never hold again, because revisions only grow and terminal
+// records are never removed. So an attempt that has not been applied by now never will be.
 void RetriedTransaction::resolve_by_reading_back(const wire::Write& write,
                                                  const TransactionResult& conflict) {
     const auto resolve = [this, &write, conflict](const kv::GetResult& result) {
@@ -158,7 +162,7 @@
         }
         const auto& precondition = *precondition_for(write);
         const auto revision = result.entry ? result.entry->rev : KeyRevision();
-        if (revision == precondition.rev || is_written_by_a_user(write, result)) {
+        if (revision == precondition.rev || is_preceded_by_cancellation(write, result)) {
             finish(conflict);
         } else {
             confirm_applied(precondition, revision);
@@ -167,8 +171,8 @@
     kv_client_.get(write.key, kTimeout, unless_superseded<kv::GetResult>(resolve));
 }
 
-// The record has changed. It was this transaction that changed it if this node still leads in the
-// term in which it was sent.
+// The record has changed. If this node still leads in the term in which the transaction was sent,
+// the change was made by this transaction.
 void RetriedTransaction::confirm_applied(const wire::Precondition& precondition,
                                          KeyRevision current_revision) {
     const auto handle = [this, precondition, current_revision](const TransactionResult& result) {
--- a/src/state/retried_transaction.hpp
+++ b/src/state/retried_transaction.hpp
@@ -1,11 +1,11 @@
 /// \file
-/// Sends one compare-and-swap transaction at a time, and repeats it until its outcome is known.
+/// Sends one compare-and-swap transaction at a time, and retries it until its outcome is known.
 ///
-/// A transaction without an answer may be applied at any later time. It is sent again with the same
-/// preconditions: every record that it writes is guarded by the revision at which this leader left
-/// it, so at most one of the attempts can ever be applied. Once one has been applied, or another
-/// precondition has failed for good, none of the others can be. A conflict that follows an
-/// unanswered attempt is resolved by reading back one of the records: if it has changed, that
+/// A transaction without a response may still be applied at any later time. It is sent again with
+/// the same preconditions. These require that every record that it writes is at the revision at
+/// which this leader left it, so at most one of the attempts can ever be applied: once one has been
+/// applied, or another precondition has failed for good, the others cannot be. If a conflict
+/// follows an attempt without a response, one of the records is read back: if it has changed, that
 /// attempt was applied.
 #pragma once
 
@@ -21,28 +21,28 @@
 
 namespace dunebridge::state {
 
-/// Turns a transaction that may be answered late, or never, into one with a definite outcome.
+/// Determines the outcome of a transaction whose response may come late or never.
 class RetriedTransaction {
   public:
     /// Called once with the outcome, unless abandon() or another send() comes first. The outcome is
-    /// kv::TransactionOutcome::unknown only if nothing but a new term can keep an unanswered
-    /// attempt from being applied.
+    /// kv::TransactionOutcome::unknown if an attempt without a response may still be applied, or
+    /// may have been: only a new term settles that.
     using OutcomeCallback = std::function<void(const kv::TransactionResult&)>;
 
-    /// The retries are charged to `write_budget`; the caller charges it for the first attempt. All
-    /// references must outlive this object.
+    /// Retries are charged to `write_budget`; the caller charges the first attempt. All references
+    /// must outlive this object.
     RetriedTransaction(sansio::Context& context, kv::KvClient& kv_client,
                        TokenBucket& write_budget);
 
-    /// Sends the transaction; an earlier one that is still under way is abandoned.
+    /// Sends the transaction and abandons an earlier one that is still under way.
     ///
-    /// The first precondition must be the one on the leader key. Preconditions on records must name
-    /// the revision at which this leader left them, so that only this leader can have changed them
+    /// The first precondition must be the one on the leader key. Those on records must name the
+    /// revision at which this leader left the record, so that only this leader can have changed it
     /// since.
     void send(std::vector<wire::Precondition> preconditions, std::vector<wire::Write> writes,
               OutcomeCallback on_outcome);
-    /// Forgets the transaction under way. Its callback is not called any more, although an attempt
-    /// that has been sent may still be applied.
+    /// Stops retrying the transaction under way and drops its callback. An attempt that has been
+    /// sent may still be applied.
     void abandon();
 
   private:
@@ -60,7 +60,8 @@
     void finish(const kv::TransactionResult& result);
     void finish_with_unknown_outcome();
 
-    /// Wraps a continuation so that it is dropped once another transaction has begun.
+    /// Wraps a continuation so that it does nothing once the transaction under way is finished,
+    /// abandoned or replaced by another one.
     template <class... Results, class Continuation>
     std::function<void(const Results&...)> unless_superseded(Continuation continuation) {
         return [this, continuation, sequence = sequence_](const Results&... results) {
@@ -71,12 +72,12 @@
     sansio::Context& context_;
     kv::KvClient& kv_client_;
     TokenBucket& write_budget_;
-    std::uint64_t sequence_ = 0;  ///< Number of the transaction under way.
+    std::uint64_t sequence_ = 0;  ///< Changes whenever a transaction begins or ends.
     std::vector<wire::Precondition> preconditions_;
     std::vector<wire::Write> writes_;
     OutcomeCallback on_outcome_;
     int attempts_ = 0;
-    /// An attempt had no answer: it has been applied, or may be applied at any time.
+    /// Some attempt had no response: it may have been applied, or may be applied at any later time.
     bool has_unanswered_attempt_ = false;
 };
 
