--- a/src/state/record_reading.cpp
+++ b/src/state/record_reading.cpp
@@ -5,8 +5,8 @@
 namespace dunebridge::state {
 
 namespace {
-// For how long another node may lead that can read what this one cannot.
-constexpr Millis kResignFor{20000};
+// Time for a node that can decode the record to become the leader.
+constexpr Millis kResignCooldown{20000};
 }  // namespace
 
 void log_invalid_record(sansio::Context& context, const InvalidRecord& record) {
@@ -17,13 +17,13 @@
 void resign_over_invalid_record(sansio::Context& context, coordination::Election& election,
                                 const InvalidRecord& record) {
     log_invalid_record(context, record);
-    election.resign(kResignFor);
+    election.resign(kResignCooldown);
 }
 
-void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Entry& row) {
-    const auto part = kv::decode_dependency_part(row.value);
+void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Entry& entry) {
+    const auto part = kv::decode_dependency_part(entry.value);
     ++job.dependencies.records_read;
-    cluster_state.stored().set(row.key, row.rev);
+    cluster_state.stored().set(entry.key, entry.rev);
     if (!part.direct) return;
     auto& direct = job.spec.waits_on;
     direct.insert(direct.end(), part.jobs.begin(), part.jobs.end());
--- a/src/state/record_reading.hpp
+++ b/src/state/record_reading.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// What reading the cluster state and following its changes have in common: rows that cannot be
-/// decoded, and dependencies that are kept in records of their own.
+/// Functions shared by ClusterStateLoader and ClusterStateFollower: handling of records that cannot
+/// be decoded, and reading of dependency records.
 #pragma once
 
 #include <optional>
@@ -15,21 +15,22 @@
 
 namespace dunebridge::state {
 
-/// A record that this version cannot read.
+/// A record that this version cannot decode.
 struct InvalidRecord {
     std::string key;
     std::string reason;
 };
 
-/// Calls `apply(const kv::Entry&)` for each row. Stops at the first for which that throws
-/// wire::DecodeError, and returns it; the rows before it have been applied.
+/// Calls `apply(const kv::Entry&)` for each entry. Stops at the first one for which that throws
+/// wire::DecodeError, and returns it; the entries before it have been applied. Returns nothing if
+/// all were applied.
 template <class Apply>
-std::optional<InvalidRecord> apply_rows(const std::vector<kv::Entry>& rows, Apply apply) {
-    for (const auto& row : rows) {
+std::optional<InvalidRecord> apply_rows(const std::vector<kv::Entry>& entries, Apply apply) {
+    for (const auto& entry : entries) {
         try {
-            apply(row);
+            apply(entry);
         } catch (const wire::DecodeError& error) {
-            return InvalidRecord{row.key, error.what()};
+            return InvalidRecord{entry.key, error.what()};
         }
     }
     return std::nullopt;
@@ -37,13 +38,13 @@
 
 void log_invalid_record(sansio::Context& context, const InvalidRecord& record);
 
-/// Gives up leadership for a while: going on without the record would lose a job or a task. A node
-/// that knows the format may lead meanwhile.
+/// Logs the record and gives up leadership for a while. Without the record the leader would lose a
+/// job or a task; a node that knows the record's format can take over.
 void resign_over_invalid_record(sansio::Context& context, coordination::Election& election,
                                 const InvalidRecord& record);
 
-/// Adds to the job the dependencies that the row of a dependency record names. Throws
-/// wire::DecodeError.
-void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Entry& row);
+/// Decodes one of the job's dependency records and adds the dependencies that the submission named
+/// to the job's spec. Throws wire::DecodeError.
+void apply_dependency_record(ClusterState& cluster_state, Job& job, const kv::Entry& entry);
 
 }  // namespace dunebridge::state
