--- a/src/state/task_ranges.cpp
+++ b/src/state/task_ranges.cpp
@@ -16,7 +16,7 @@
     return {from, size, task_range_key(job.spec.id, from, size)};
 }
 
-// The range that a task is to be in if no record covers it yet.
+// Returns the range in which a task is put if none covers it yet.
 TaskRange default_range(const Job& job, std::uint32_t task_index, std::uint64_t record_format) {
     const auto task_count = static_cast<std::uint32_t>(job.tasks.size());
     const bool has_ranges = record_format >= config::kRangeFormat;
@@ -27,14 +27,14 @@
     return {from, size, chunk_key(job.spec.id, from / kTasksPerChunk)};
 }
 
-// Appends ranges for the tasks from `begin` up to `end`, which no record covers.
+// Appends ranges for the tasks from `begin` to before `end`, which no range covers.
 void append_default_ranges(const Job& job, std::uint32_t begin, std::uint32_t end,
                            std::uint64_t record_format, std::vector<TaskRange>& ranges) {
     while (begin < end) {
         auto range = default_range(job, begin, record_format);
         const auto default_end = range.from + range.size;
         const auto range_end = std::min(default_end, end);
-        // Recorded ranges cover a part of this one: what is left beside them is a smaller range.
+        // Existing ranges cover some of its tasks: the new range has only the remaining ones.
         if (range.from != begin || range_end != default_end) {
             range = make_range(job, begin, range_end - begin);
         }
@@ -43,7 +43,7 @@
     }
 }
 
-// Ranges of the size given; the last may be smaller.
+// Divides the range into parts of the given size; the last may be smaller.
 std::vector<TaskRange> divide(const Job& job, const TaskRange& range, std::uint32_t size) {
     std::vector<TaskRange> parts;
     const auto end = range.from + range.size;
@@ -53,8 +53,8 @@
     return parts;
 }
 
-// The size of a range's parts, in whole hexadecimal digits of the record's sets where it is not
-// smaller than one digit.
+// Returns the size of a part if the range is divided into at most so many. A size of one
+// hexadecimal digit of the record's task sets or more is rounded up to whole digits.
 std::uint32_t part_size(const TaskRange& range, std::uint32_t parts_wanted) {
     const auto size = std::max<std::uint32_t>(1, (range.size + parts_wanted - 1) / parts_wanted);
     if (size < kTasksPerHexDigit) return size;
--- a/src/state/task_ranges.hpp
+++ b/src/state/task_ranges.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The ranges into which a job's tasks are divided; each has a progress record of its own.
+/// The ranges into which a job's tasks are divided. Each range has its own progress record.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,24 @@
 
 namespace dunebridge::state {
 
-/// Divides those of the job's tasks that no record covers into ranges, so that every task is in
-/// exactly one. The record format that is in force decides how large the new ranges are.
+/// Adds ranges for the tasks of the job that no range covers, so that every task is in exactly one.
+/// Their size depends on the record format that is in force.
 void complete_ranges(Job& job, std::uint64_t record_format);
 
-/// The key of the progress record that covers the task; empty if none does.
+/// Returns the key of the progress record that covers the task; empty if there is none.
 std::string progress_key(const Job& job, std::uint32_t task_index);
 
-/// The range as several smaller ones, as few as it takes for each record to fit `max_value_bytes`.
-/// A range of one task is not divided further, whatever the size of its record.
+/// Divides the range into parts of about equal size, doubling their number from two until each
+/// part's record fits `max_value_bytes`. A range of one task is not divided further, whatever the
+/// size of its record.
 std::vector<TaskRange> split_range(const Job& job, const TaskRange& range,
                                    std::size_t max_value_bytes);
 
-/// Replaces the range whose progress record has this key, which must exist, by its parts.
+/// Replaces the range whose progress record has this key by its parts. The range must exist.
 /// Invalidates pointers to the job's ranges.
 void replace_range(Job& job, const std::string& key, const std::vector<TaskRange>& parts);
 
-/// A range of tasks and the job that they belong to; both null if there is none.
+/// A job and a range of its tasks; both pointers are null if there is none.
 struct JobTaskRange {
     Job* job = nullptr;
     const TaskRange* range = nullptr;
@@ -36,11 +37,11 @@
     explicit operator bool() const { return range != nullptr; }
 };
 
-/// The tasks that the progress record with this key covers; none once the job is forgotten or the
-/// range is split.
+/// Returns the job and the range of tasks that the progress record with this key covers; empty if
+/// the job is not in `jobs` or the range has been split.
 JobTaskRange find_task_range(std::map<JobId, Job>& jobs, const std::string& key);
 
-/// Calls `visit(Placement&)` for each task of the range that is placed, in order.
+/// Calls `visit(Placement&)` for the placement of each placed task in the range, in index order.
 template <class Visit>
 void for_each_placement(const JobTaskRange& tasks, Visit visit) {
     if (!tasks) return;
