--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -15,12 +15,13 @@
 
 namespace {
 constexpr Millis kSendInterval{30};
-// With little budget left, fewer and fuller transactions: a record is then written once for
-// several changes to it.
-constexpr Millis kSendIntervalWhenShort{200};
+// Used while little of the write budget is left. Transactions are fewer and larger then, so that
+// several changes to a record cost one write.
+constexpr Millis kSendIntervalOnLowBudget{200};
 constexpr Millis kRetryBackoff{120};
 constexpr Millis kTooLargeBackoff{5000};
-// The rest of the write budget is for submissions and cancellations at any node.
+// Share of the key-value store's write rate. The rest is for submissions and cancellations, which
+// every node writes.
 constexpr double kWriteBudgetShare = 0.6;
 }  // namespace
 
@@ -75,18 +76,20 @@
         if (builder.add(key) == TransactionBuilder::AddResult::transaction_full) break;
     }
     if (builder.empty()) {
-        send_later(builder);
+        schedule_next_send(builder);
     } else {
         send(builder.take());
     }
 }
 
-// Parts of a split record are all that is due. They are sent together, once the budget allows it.
-void ClusterStateWriter::send_later(const TransactionBuilder& builder) {
+// Called if the builder added no write. If the parts of a split record, which go into one
+// transaction, need more budget than is available, asks to be woken once there is enough; if a
+// record was split just now, asks to be woken to send its parts.
+void ClusterStateWriter::schedule_next_send(const TransactionBuilder& builder) {
     const auto now = context_.now();
     const auto writes = builder.writes_needed();
     if (writes > 0) next_send_at_ = write_budget_.ready_at(static_cast<double>(writes), now);
-    if (writes > 0 || builder.has_split_a_record()) {
+    if (writes > 0 || builder.did_split_record()) {
         context_.request_wake(std::max(next_send_at_, now));
     }
 }
@@ -94,8 +97,8 @@
 void ClusterStateWriter::send(StateTransaction transaction) {
     const auto now = context_.now();
     const double full_budget = kWriteBudgetShare * config_.kv_limits.write_rps();
-    const bool is_short = write_budget_.available(now) < full_budget / 2;
-    next_send_at_ = now + (is_short ? kSendIntervalWhenShort : kSendInterval);
+    const bool is_budget_low = write_budget_.available(now) < full_budget / 2;
+    next_send_at_ = now + (is_budget_low ? kSendIntervalOnLowBudget : kSendInterval);
     write_budget_.take(static_cast<double>(transaction.writes.size()), now);
     state_.set_committing(true);
     auto preconditions = std::move(transaction.preconditions);
@@ -116,7 +119,8 @@
     if (result.outcome == TransactionOutcome::ok) {
         handle_committed(transaction, result.rev);
     } else if (result.outcome == TransactionOutcome::unknown) {
-        // It may be applied at any later time. A new term over the own leader key fences it off.
+        // It may still be applied at any later time. A new term changes the revision of the leader
+        // key, after which it no longer can be.
         context_.log(sansio::LogLevel::info, "event=transaction_outcome_unknown term={}",
                      election_.term().get());
         election_.require_new_term();
@@ -143,8 +147,8 @@
     }
 }
 
-// Larger than the key-value store accepts now. What is sent from here on fits the smaller limits;
-// were it refused all the same, it is not repeated at once.
+// The key-value store has lowered its limits. Later transactions keep to the lower ones; if one of
+// those is rejected as well, the next follows only after a longer backoff.
 void ClusterStateWriter::handle_too_large(const StateTransaction& transaction) {
     context_.log(sansio::LogLevel::error, "event=transaction_too_large writes={} bytes={}",
                  transaction.changes.size(), transaction.bytes);
@@ -167,13 +171,14 @@
         } else {
             state_.stored().set(key, revision);
         }
-        if (key.starts_with(kProgressPrefix)) handle_committed_progress(key);
+        if (key.starts_with(kProgressPrefix)) handle_committed_progress_record(key);
     }
 }
 
-// The placements that the record holds may be acted on. Those that were made after it was written
-// have to follow at once; without any, what is left of the record's changes lets nothing start.
-void ClusterStateWriter::handle_committed_progress(const std::string& key) {
+// The placements in the committed record may be acted on. If others were made after the record was
+// encoded, it has to be written again at once; otherwise none of its remaining changes lets
+// anything start, and they can wait for the delay of batched changes.
+void ClusterStateWriter::handle_committed_progress_record(const std::string& key) {
     const auto tasks = find_task_range(state_.jobs(), key);
     if (!tasks) return;
     bool has_uncommitted = false;
@@ -207,12 +212,13 @@
     context_.log(sansio::LogLevel::info, "event=transaction_conflict term={} key={} of={}",
                  election_.term().get(), result.failed.empty() ? "" : result.failed.front(),
                  result.failed.size());
-    // The leader key has changed. Standing again over the old revision fails if another leads.
+    // The leader key may have changed. The campaign for a new term requires the old revision of
+    // the key, so it fails if another node leads.
     election_.require_new_term();
 }
 
-// Terminal records that exist already are users' cancellations that came first. Whether there are
-// any among the keys of the preconditions that failed.
+// A terminal record that exists already is a user's cancellation that was committed first. Applies
+// those among the keys whose preconditions failed, and returns whether there were any.
 bool ClusterStateWriter::apply_cancellations(const std::vector<std::string>& failed_keys) {
     bool found = false;
     for (const auto& key : failed_keys) {
--- a/src/state/cluster_state_writer.hpp
+++ b/src/state/cluster_state_writer.hpp
@@ -1,10 +1,10 @@
 /// \file
 /// Commits changes of the cluster state to the key-value store, one transaction at a time.
 ///
-/// Every transaction is a compare-and-swap that holds only while this node leads. One without an
-/// answer is sent again until its outcome is known (state/retried_transaction.hpp). What users wait
-/// for (terminal records) and what lets tasks start (placements, scale-out requests) is committed
-/// at once; what is proved done or gone follows at a fixed cadence.
+/// Every transaction is a compare-and-swap that can only be applied while this node leads. One
+/// without a response is sent again until its outcome is known (state/retried_transaction.hpp).
+/// Changes that users wait for (terminal records) or that let something start (placements,
+/// scale-out requests) are committed at once, all others after a fixed delay.
 #pragma once
 
 #include <string>
@@ -30,22 +30,23 @@
                        coordination::Election& election, ClusterState& cluster_state,
                        const config::Config& config);
 
-    /// Forgets the transaction under way: another term begins, or this node is no longer leader.
+    /// Abandons the transaction under way. To be called when a term begins or ends.
     void reset();
-    /// Sends the next transaction if there is something to commit and none is under way; else asks
-    /// to be woken when one may be sent.
+    /// Sends the next transaction if there is something to commit and none is under way. If it has
+    /// to wait for the send interval, the write budget or the delay of batched changes, asks to be
+    /// woken when it may be sent.
     void flush();
 
   private:
     bool may_send() const;
     TransactionLimits transaction_limits();
     void build_and_send(const std::vector<std::string>& due_keys);
-    void send_later(const TransactionBuilder& builder);
+    void schedule_next_send(const TransactionBuilder& builder);
     void send(StateTransaction transaction);
 
     void handle_outcome(const StateTransaction& transaction, const kv::TransactionResult& result);
     void handle_committed(const StateTransaction& transaction, KeyRevision revision);
-    void handle_committed_progress(const std::string& key);
+    void handle_committed_progress_record(const std::string& key);
     void handle_committed_terminal_record(const JobId& id);
     void handle_not_committed(const StateTransaction& transaction,
                               const kv::TransactionResult& result);
@@ -60,7 +61,8 @@
     TokenBucket write_budget_;
     RetriedTransaction retried_transaction_;
     PendingSplits pending_splits_;
-    /// The key-value store has refused a value that it accepted before: its limit is lower now.
+    /// The key-value store has rejected a transaction as too large: its limit on the size of a
+    /// value is taken to have been lowered.
     bool value_limit_reduced_ = false;
     Instant next_send_at_{};
 };
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -15,12 +15,12 @@
 using kv::without_prefix;
 
 namespace {
-// How long a job gets no placements after the record of its tasks has grown too large for another.
+// Time for which a job gets no placements after one of its records was too large to hold more.
 constexpr Millis kBackoffAfterUndo{2000};
-// Size of a transaction, out of the 64 KiB that the key-value store accepts.
+// Largest estimated size of a transaction. The key-value store accepts 64 KiB.
 constexpr std::size_t kMaxTransactionBytes = std::size_t{60} * 1024;
-// What a record adds to a transaction besides its key and value, at most.
-constexpr std::size_t kOverheadBytes = 192;
+// Upper bound of what a record adds to a transaction in addition to its key and value.
+constexpr std::size_t kRecordOverheadBytes = 192;
 }  // namespace
 
 wire::JobPhase terminal_phase(const Job& job) {
@@ -28,7 +28,7 @@
 }
 
 std::size_t TransactionBuilder::Record::bytes_in_transaction() const {
-    return kOverheadBytes + key.size() + (value ? value->json_size : 0);
+    return kRecordOverheadBytes + key.size() + (value ? value->json_size : 0);
 }
 
 TransactionBuilder::TransactionBuilder(sansio::Context& context, ClusterState& cluster_state,
@@ -52,9 +52,9 @@
     return record;
 }
 
-// The value of a record other than progress; none if it is to be removed.
+// Returns the value of a record other than a progress record; nothing if it is to be removed.
 std::optional<kv::PackedRecord> TransactionBuilder::encode_value(const std::string& key) const {
-    // Its key begins with the prefix of scale-outs: it has to be looked for first.
+    // Its key also begins with the prefix of scale-out records, so it has to be checked first.
     if (key == kv::kFormatMark) {
         if (state_.format() < config::kRangeFormat) return std::nullopt;
         return encode_format_mark(state_.format());
@@ -95,7 +95,7 @@
 
 bool TransactionBuilder::has_room_for(const Record& record) const {
     if (transaction_.writes.size() >= limits_.max_writes) return false;
-    // A transaction of one record is sent whatever its size.
+    // The first record always fits: a transaction of one record is sent whatever its size.
     return transaction_.writes.empty() ||
            transaction_.bytes + record.bytes_in_transaction() <= kMaxTransactionBytes;
 }
@@ -105,7 +105,7 @@
     return std::find(added.begin(), added.end(), split_record) != added.end();
 }
 
-// Adds all parts of a split record and the removal of the record itself, or none of it.
+// Adds all parts of a split record and the removal of the record itself, or nothing.
 TransactionBuilder::AddResult TransactionBuilder::add_parts_of(const std::string& split_record) {
     Record removal{split_record, {}, std::nullopt};
     std::size_t bytes = removal.bytes_in_transaction();
@@ -129,12 +129,14 @@
     add_preconditions(record);
     transaction_.bytes += record.bytes_in_transaction();
     transaction_.changes.push_back({record.key, !record.value});
-    if (!record.value && !state_.stored().contains(record.key)) return;  // there is none to remove
+    if (!record.value && !state_.stored().contains(record.key)) return;  // not stored
     auto packed = record.value ? std::optional(std::move(record.value->packed)) : std::nullopt;
     transaction_.writes.push_back({std::move(record.key), std::move(packed), std::nullopt});
 }
 
-// Placements may only be recorded for open jobs, and a job becomes terminal only once.
+// Requires of a terminal record that none exists, and of any other record that the stored one is
+// unchanged and, if it holds new placements, that its job has no terminal record: placements may
+// only be recorded for open jobs, and a job becomes terminal only once.
 void TransactionBuilder::add_preconditions(const Record& record) {
     if (record.key.starts_with(kTerminalPrefix)) {
         require_open_job(record.key);
@@ -146,15 +148,15 @@
     transaction_.preconditions.push_back({record.key, state_.stored().revision(record.key)});
 }
 
-// The job must not have a terminal record.
+// Adds the precondition that the job has no terminal record.
 void TransactionBuilder::require_open_job(const std::string& terminal_key) {
     if (guarded_terminal_keys_.insert(terminal_key).second) {
         transaction_.preconditions.push_back({terminal_key, KeyRevision()});
     }
 }
 
-// Whether the record holds placements that are not committed; they count as being committed with
-// the transaction.
+// Collects the placements in the record that are not committed, for take(). Returns whether there
+// are any.
 bool TransactionBuilder::collect_new_placements(const Record& record) {
     const auto before = new_placements_.size();
     for_each_placement(record.tasks, [this](Placement& placement) {
@@ -170,27 +172,28 @@
 
 // ---- records that are too large ----
 
-// Records of the older format cannot be split. They may grow up to what is accepted now; those of
-// the newer format are split early enough to fit any limit to come.
+// Records of the chunk format cannot be split and may grow up to the limit that is in force now.
+// Those of the range format are split early enough to fit the lower limits that are to come.
 std::size_t TransactionBuilder::split_threshold() const {
     return state_.format() >= config::kRangeFormat ? limits_.kv.value_bytes()
                                                    : limits_.max_value_bytes();
 }
 
-// Divides a record's tasks among several records, each of which fits. False if that can't be done.
+// Divides a record's tasks among several records that fit the limit on values. Returns false if
+// that is not possible.
 bool TransactionBuilder::split(const Record& record) {
     const auto& [job, range] = record.tasks;
     if (state_.format() < config::kRangeFormat || !range || range->size < 2) return false;
     const auto parts = split_range(*job, *range, limits_.kv.value_bytes());
-    // All of them must fit one transaction. A part that is not committed itself stays with the
-    // record that it is a part of.
+    // All parts must fit one transaction. If the record is itself an uncommitted part, that
+    // includes the other parts of the record to which it belongs.
     const auto split_record = pending_splits_.split_record_of(record.key);
     const auto writes = pending_splits_.parts_of(split_record).size() + parts.size() + 1;
     if (writes > limits_.kv.txn_ops()) return false;
     replace_by_parts(record, split_record, parts);
     context_.log(sansio::LogLevel::info, "event=record_split key={} parts={}", record.key,
                  parts.size());
-    has_split_a_record_ = true;
+    did_split_record_ = true;
     return true;
 }
 
@@ -198,19 +201,21 @@
                                           const std::vector<TaskRange>& parts) {
     auto& dirty = state_.dirty();
     const auto* found = dirty.find(record.key);
-    const auto unsplit = found ? *found : DirtyRecord{0, 0, CommitUrgency::batched, context_.now()};
-    pending_splits_.split(split_record, record.key, parts);
+    const auto replaced =
+        found ? *found : DirtyRecord{0, 0, CommitUrgency::batched, context_.now()};
+    pending_splits_.add_split(split_record, record.key, parts);
     replace_range(*record.tasks.job, record.key, parts);
-    for (const auto& part : parts) dirty.mark_replacement(unsplit, part.key);
+    for (const auto& part : parts) dirty.mark_replacement(replaced, part.key);
     if (record.key != split_record) {
         dirty.erase(record.key);
     } else {
-        dirty.mark(split_record, unsplit.urgency);
+        dirty.mark(split_record, replaced.urgency);
     }
 }
 
-// Undoes placements until the record fits what is accepted now. False if it is too large all the
-// same: it stays as it was stored, and what it adds is never acted on.
+// Undoes placements until the record fits the limit that is in force now. Returns false if it is
+// still too large: the stored record then stays as it is, and the remaining changes are not acted
+// on.
 bool TransactionBuilder::shrink_to_limit(Record& record) {
     const auto limit = limits_.max_value_bytes();
     while (record.tasks && record.value->json_size > limit) {
@@ -223,7 +228,8 @@
     return false;
 }
 
-// Their tasks wait again. False if there is no placement that may be undone.
+// Undoes half of the uncommitted placements, rounded up, and makes their tasks pending again.
+// Returns false if there are none to undo.
 bool TransactionBuilder::undo_half_of_new_placements(const JobTaskRange& tasks) {
     std::vector<Placement*> undoable;
     for_each_placement(tasks, [&undoable](Placement& placement) {
--- a/src/state/transaction_builder.hpp
+++ b/src/state/transaction_builder.hpp
@@ -1,10 +1,10 @@
 /// \file
 /// Builds one compare-and-swap transaction from the records of the cluster state that are due.
 ///
-/// Every record that it writes is guarded by the revision at which this leader left it, so that a
-/// copy of the transaction that arrives late cannot put an older record over a newer one. A
-/// progress record that no longer fits the limits of the key-value store is split. Placements that
-/// cannot be recorded are undone: nothing may start that is not on record.
+/// For every record that it writes, the transaction requires the revision at which this leader left
+/// the record, so that a copy of it that arrives late cannot overwrite a newer version. A progress
+/// record that exceeds the limits of the key-value store is split. Placements that cannot be
+/// recorded are undone, because a task may only start once its placement is recorded.
 #pragma once
 
 #include <cstddef>
@@ -27,7 +27,7 @@
 
 namespace dunebridge::state {
 
-/// A compare-and-swap transaction, and what of the cluster state it commits.
+/// A compare-and-swap transaction and the changes of the cluster state that it commits.
 struct StateTransaction {
     /// A record that is written or removed.
     struct RecordChange {
@@ -35,38 +35,40 @@
         bool removed = false;
     };
 
-    Version state_version = 0;  ///< Of the cluster state when the transaction was built.
+    Version state_version = 0;  ///< Version of the cluster state that it commits.
     std::vector<RecordChange> changes;
     std::vector<wire::Precondition> preconditions;  ///< The first is the one on the leader key.
     std::vector<wire::Write> writes;
-    std::vector<std::string> split_records;  ///< Keys of records that their parts replace.
-    std::size_t bytes = 0;                   ///< Estimate of the encoded size.
+    std::vector<std::string>
+        split_records;      ///< Keys of the records that are replaced by their parts.
+    std::size_t bytes = 0;  ///< Estimate of the encoded size.
 };
 
-/// The limits of a transaction at the time when it is built.
+/// Limits for a transaction, as of the time when it is built.
 struct TransactionLimits {
-    std::size_t max_writes = 0;  ///< What the transaction limit and the write budget allow.
+    std::size_t max_writes = 0;  ///< The lower of the store's limit and the write budget.
     config::KvLimits kv;
-    /// The key-value store has refused a value that it accepted before: its limit is lower now.
+    /// The key-value store has rejected a transaction as too large: its limit on the size of a
+    /// value is taken to have been lowered.
     bool value_limit_reduced = false;
 
-    /// Size of the largest value that is accepted now, as far as is known.
+    /// Returns the size of the largest value that the store accepts now, as far as is known.
     std::size_t max_value_bytes() const { return kv.value_bytes_now(value_limit_reduced); }
 };
 
-/// Collects records, in the order of their urgency, until the transaction is full.
+/// Collects records until the transaction is full. The caller adds them in order of urgency.
 ///
-/// Lives for one transaction, on the controller's thread. Splitting a record and undoing placements
-/// change the cluster state at once, also if the transaction is never sent.
+/// Used for one transaction, on the controller's thread. Splitting a record and undoing placements
+/// change the cluster state immediately, even if the transaction is never sent.
 class TransactionBuilder {
   public:
-    /// Whether more records may be added.
+    /// Result of adding a record.
     enum class AddResult : std::uint8_t {
         handled,          ///< Added, already part of the transaction, or not to be written now.
-        transaction_full  ///< Not added: there is no room for it.
+        transaction_full  ///< Not added, because it does not fit.
     };
 
-    /// `leader_precondition` holds as long as this node leads. All references must outlive the
+    /// `leader_precondition` must hold only while this node leads. All references must outlive the
     /// builder.
     TransactionBuilder(sansio::Context& context, ClusterState& cluster_state,
                        PendingSplits& pending_splits, TransactionLimits limits,
@@ -74,22 +76,22 @@
 
     /// Adds the changes of the record with this key.
     AddResult add(const std::string& key);
-    /// The transaction. The placements that it records count as being committed from here on.
+    /// Returns the transaction and marks the placements that it records as `in_transaction`.
     StateTransaction take();
 
     bool empty() const { return transaction_.writes.empty(); }
-    /// If not 0, the parts of a split record need a budget of so many writes at once, which is more
-    /// than this transaction was allowed.
+    /// Returns the number of writes that the parts of a split record need in one transaction, if
+    /// that is more than this one may have; otherwise 0.
     std::size_t writes_needed() const { return writes_needed_; }
-    /// Whether a record was split: its parts are due at once.
-    bool has_split_a_record() const { return has_split_a_record_; }
+    /// Returns whether a record was split. Its parts are to be added to another transaction.
+    bool did_split_record() const { return did_split_record_; }
 
   private:
-    // A record as the cluster state has it now.
+    // A record with the value that the cluster state gives it now.
     struct Record {
         std::string key;
-        JobTaskRange tasks;                     // of a progress record; empty for all others
-        std::optional<kv::PackedRecord> value;  // none: the record is to be removed
+        JobTaskRange tasks;                     // set for progress records only
+        std::optional<kv::PackedRecord> value;  // absent: the record is to be removed
 
         std::size_t bytes_in_transaction() const;
     };
@@ -117,13 +119,13 @@
     PendingSplits& pending_splits_;
     const TransactionLimits limits_;
     StateTransaction transaction_;
-    std::set<std::string> guarded_terminal_keys_;  ///< Keys with a precondition in transaction_.
-    std::vector<Placement*> new_placements_;       ///< Those that transaction_ records.
+    std::set<std::string> guarded_terminal_keys_;  ///< Terminal keys that must be absent.
+    std::vector<Placement*> new_placements_;       ///< Newly recorded by transaction_.
     std::size_t writes_needed_ = 0;
-    bool has_split_a_record_ = false;
+    bool did_split_record_ = false;
 };
 
-/// The terminal phase that this leader commits for a job that is finishing.
+/// Returns the terminal phase that this leader commits for a finishing job.
 wire::JobPhase terminal_phase(const Job& job);
 
 }  // namespace dunebridge::state
