--- a/src/state/cluster_state_follower.cpp
+++ b/src/state/cluster_state_follower.cpp
@@ -117,7 +117,7 @@
 }
 
 void ClusterStateFollower::apply_dependencies(Job& job, const kv::ListResult& records) {
-    const auto invalid = apply_rows(records.entries, [this, &job](const kv::Entry& row) {
+    const auto invalid = apply_entries(records.entries, [this, &job](const kv::Entry& row) {
         apply_dependency_record(state_, job, row);
     });
     if (invalid) {
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -54,7 +54,7 @@
         return;
     }
     if (step_index == 0) first_revision_ = result.rev;
-    const auto invalid = apply_rows(result.entries, [this, step_index](const kv::Entry& row) {
+    const auto invalid = apply_entries(result.entries, [this, step_index](const kv::Entry& row) {
         (this->*kSteps[step_index].apply)(row);
     });
     if (invalid) {
--- a/src/state/record_reading.hpp
+++ b/src/state/record_reading.hpp
@@ -25,7 +25,7 @@
 /// wire::DecodeError, and returns it; the entries before it have been applied. Returns nothing if
 /// all were applied.
 template <class Apply>
-std::optional<InvalidRecord> apply_rows(const std::vector<kv::Entry>& entries, Apply apply) {
+std::optional<InvalidRecord> apply_entries(const std::vector<kv::Entry>& entries, Apply apply) {
     for (const auto& entry : entries) {
         try {
             apply(entry);
