--- a/src/provisioning/boot_monitor.cpp
+++ b/src/provisioning/boot_monitor.cpp
@@ -9,28 +9,28 @@
 using state::Machine;
 
 namespace {
-// Of a machine whose type is not known.
+// Used for a machine whose type is unknown.
 constexpr Seconds kDefaultNominalBootTime{60};
+// The weights and the deviation factor have the values of RFC 6298 (TCP retransmission timer).
 constexpr double kMeanWeight = 0.125;
 constexpr double kDeviationWeight = 0.25;
-constexpr double kInitialDeviationRatio = 0.25;  // of the nominal time
+constexpr double kInitialDeviationRatio = 0.25;  // to the nominal boot time
 constexpr double kDeviationFactor = 4;
-// Machines commonly take up to half as long again as the cloud says, also after a run of quick
-// ones.
-constexpr double kMinLimitFactor = 1.5;  // in nominal times
-// This share of the fleet may be overdue and replaced at the same time, and always this many
-// machines.
+// Boots commonly take up to 1.5 times the nominal time, even after a series of quick boots.
+constexpr double kMinLimitFactor = 1.5;  // to the nominal boot time
+// This share of the fleet may be replaced at the same time because it is overdue, but at least this
+// number of machines.
 constexpr double kMaxReplacedShare = 0.2;
 constexpr std::size_t kMinReplacementLimit = 2;
-// The first and the longest backoff of an unhealthy pool; after it, so many machines at a time may
-// be requested as probes.
+// The initial and the maximum backoff of an unhealthy machine type and zone, and the number of
+// machines that may boot at a time as probes after the backoff.
 constexpr Millis kMinBackoff{30000};
 constexpr Millis kMaxBackoff{300000};
 constexpr std::size_t kMaxProbes = 2;
-// Bounds of the time before a machine that has not come up is released: nominal times, and a margin
-// besides. The longer time is for pools where nothing else comes up either, so that waiting is as
-// good as requesting again, and for those that are known to be slow. A machine that never comes up
-// is paid for until then.
+// Bounds of the time after which a machine that has not booted is released: multiples of the
+// nominal boot time, plus a margin. The longer time applies where no other machine boots either, as
+// waiting is then as good as requesting again, and where boots are known to be slow. A machine that
+// never boots is paid for until it is released.
 constexpr double kMinTimeoutFactor = 3.5;
 constexpr double kMaxTimeoutFactor = 6;
 constexpr Millis kTimeoutMargin{20000};
@@ -101,7 +101,7 @@
     auto& instance = machine.instance;
     if (!instance.boot_tracked && !instance.overdue) return;
     auto& health = health_of(machine);
-    // The time of the request is known only for machines that this leader requested in this term.
+    // The time of the request is known only for machines that were requested in this term.
     if (instance.boot_tracked) {
         const Seconds boot_time = context_.now() - instance.provisioned_at;
         health.boot_time.observe(boot_time, nominal_boot_time(machine));
@@ -130,8 +130,8 @@
     record_overdue(machine);
 }
 
-// The many machines of one request become overdue in the same moment: they count as one failure, as
-// the backoff is not extended while it lasts.
+// All machines of one request become overdue at the same time. They count as one failure, because
+// the backoff is not extended while it is in effect.
 void BootMonitor::record_overdue(const Machine& machine) {
     context_.log(LogLevel::info, "event=boot_overdue host={} type={} zone={} after_s={:.0f}",
                  machine.host.get(), machine.machine_type, machine.zone,
--- a/src/provisioning/boot_monitor.hpp
+++ b/src/provisioning/boot_monitor.hpp
@@ -1,14 +1,15 @@
 /// \file
-/// Follows the machines that have been requested and have not come up yet.
+/// Monitors requested machines until they have booted.
 ///
-/// How long a boot may take is learnt for each machine type and zone from the machines that
-/// came up; the cloud's own figure is only the first estimate. A machine that takes longer is
-/// overdue. An overdue machine no longer counts as capacity, so that the fleet is scaled out by
-/// another in its place. Two bounds guard against request storms:
-///  - only a share of the fleet may be replaced at a time, for clouds that are slow everywhere;
-///  - a type and zone from which nothing has come since its machines became overdue is unhealthy.
-///    Nothing is requested from it for a backoff time that doubles up to a limit; after that, a few
-///    machines at a time as probes; and without bounds again as soon as one comes up.
+/// The expected boot time is estimated per machine type and zone from observed boots; the nominal
+/// boot time that the cloud states is only the initial estimate. A machine that takes longer than
+/// the estimate allows is overdue. It may then stop counting as capacity, so that a replacement is
+/// requested. Two limits prevent request storms:
+///  - Only a share of the fleet may be replaced at a time, in case the whole cloud is slow.
+///  - A machine type in a zone is unhealthy if none of its machines has booted since an overdue one
+///    was requested. Nothing is requested from it during a backoff that doubles up to a maximum.
+///    After the backoff, a few machines at a time are requested as probes. The limit is lifted as
+///    soon as a machine boots.
 #pragma once
 
 #include <cstddef>
@@ -22,54 +23,56 @@
 
 namespace dunebridge::provisioning {
 
-/// Smoothed mean and mean deviation of boot times, as for a transport's retransmission timeout.
+/// Smoothed mean and mean deviation of boot times, estimated like the round-trip time for the TCP
+/// retransmission timeout.
 struct BootTimeEstimate {
     Seconds mean{0};
     Seconds deviation{0};
-    bool has_samples = false;  ///< false: nothing observed, the nominal time stands for the mean
+    bool has_samples = false;  ///< false: limit() uses the nominal time as the mean
 
-    /// A machine came up after this boot time, where the cloud states the nominal one.
+    /// Adds an observed boot time. `nominal` is the boot time that the cloud states for the type.
     void observe(Seconds boot_time, Seconds nominal);
-    /// The time after which a machine that is not up is overdue.
+    /// Returns the time after which a machine that has not booted is overdue.
     Seconds limit(Seconds nominal) const;
 };
 
-/// Judges machines that boot: which are overdue, which may be replaced, and which pools are
-/// unhealthy. Writes InstanceStatus::boot_tracked, overdue and replacement_allowed. Used by the
-/// leader alone; the references must outlive it.
+/// Determines which booting machines are overdue, which of those may be replaced, and which pools
+/// are unhealthy. Writes InstanceStatus::boot_tracked, overdue and replacement_allowed. Used only
+/// on the leader. The objects passed by reference must outlive it.
 class BootMonitor {
   public:
     BootMonitor(sansio::Context& context, state::ClusterState& cluster_state,
                 const state::MachineTypeCatalog& machine_types)
         : context_(context), state_(cluster_state), machine_types_(machine_types) {}
 
-    /// Another term begins: learnt boot times are kept, pools count as healthy until machines
-    /// are judged anew.
+    /// Resets the state for a new term: estimated boot times are kept, and all pools count as
+    /// healthy until a machine is found overdue again.
     void reset();
-    /// Judges all machines. To be called before the results below are used.
+    /// Updates the boot status of all machines. Must be called before the queries below.
     void update();
-    /// Whether the machine is overdue and another may be requested in its place, as of the last
-    /// update().
+    /// Returns true if the machine was overdue at the last update() and a replacement may be
+    /// requested.
     bool replacement_allowed(const state::Machine& machine) const;
-    /// The time since its request after which a machine that has not come up is released.
+    /// Returns the time since its request after which a machine that has not booted is released.
     Millis boot_timeout(const state::Machine& machine) const;
-    /// For each pool that is unhealthy, how many more machines may be requested from it now.
+    /// Returns, for each unhealthy pool, how many more machines may be requested from it now.
     std::map<InstancePool, std::size_t> unhealthy_pool_limits() const;
 
   private:
-    // Boots are judged for spot and on-demand machines together.
+    // Spot and on-demand machines share one boot time estimate and one health status.
     struct TypeInZone {
         std::string machine_type;
         std::string zone;
         auto operator<=>(const TypeInZone&) const = default;
     };
+    // Boot statistics and health of one machine type in one zone.
     struct BootHealth {
         BootTimeEstimate boot_time;
-        Instant last_boot_at{};  // when a machine last came up
-        bool unhealthy = false;  // nothing has come up since overdue machines were requested
+        Instant last_boot_at{};  // when a machine last booted
+        bool unhealthy = false;  // none has booted since an overdue one was requested
         Instant backoff_until{};
         Millis backoff{0};
-        std::size_t booting = 0;  // and not overdue
+        std::size_t booting = 0;  // machines booting and not overdue
     };
 
     void record_boot(state::Machine& machine);
--- a/src/provisioning/cloud_client.cpp
+++ b/src/provisioning/cloud_client.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 constexpr Millis kRequestTimeout{5000};
-// The rest of the cloud's rate is left to the other controllers, which fetch the machine types.
+// The rest of the cloud's request rate is left for the other controllers, which fetch the machine
+// types.
 constexpr double kLeaderShare = 0.8;
 constexpr const char* kNoCapacity = "no capacity";
 
-// The decoded body of a successful response; none if there is no such response or its body is
-// invalid. Invalid bodies are logged under the event's name.
+// Returns the decoded body of a successful response, or nullopt if the request failed or the body
+// is invalid. An invalid body is logged with the event name `error_event`.
 template <class Decode>
 auto decode_response(sansio::Context& context, const HttpResult& response, const char* error_event,
                      Decode decode) -> std::optional<std::invoke_result_t<Decode, wire::Value>> {
@@ -71,7 +72,8 @@
     if (response.ok()) {
         auto hosts =
             decode_response(context_, response, "invalid_scale_out_response", wire::decode_hosts);
-        // Machines that an invalid body does not name are found by their heartbeats and the list.
+        // If the body is invalid, the granted machines are discovered by their heartbeats and the
+        // machine list.
         return {Outcome::granted, hosts ? std::move(*hosts) : std::vector<MachineName>()};
     }
     if (response.status == 400) return {Outcome::invalid, {}};
--- a/src/provisioning/cloud_client.hpp
+++ b/src/provisioning/cloud_client.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Typed access to the cloud's interface, within the leader's share of its request rate.
+/// Typed client of the cloud's API, limited to the leader's share of the cloud's request rate.
 #pragma once
 
 #include <cstdint>
@@ -14,47 +14,48 @@
 
 namespace dunebridge::provisioning {
 
-/// The cloud's answer to a request for machines.
+/// The cloud's response to a request for machines.
 struct ScaleOutResult {
     enum class Outcome : std::uint8_t {
-        granted,      ///< all or some of the machines requested
-        no_capacity,  ///< none; the request is settled
-        invalid,      ///< it will never be granted; the request is settled
-        unknown       ///< it may have been granted: the request must be repeated
+        granted,      ///< some or all of the requested machines were granted
+        no_capacity,  ///< no machine was granted; the request is final
+        invalid,      ///< the request can never be granted; it is final
+        unknown       ///< it may have been granted: it must be repeated
     };
     Outcome outcome = Outcome::unknown;
     std::vector<MachineName> hosts;
 };
 
-/// Encodes requests to the cloud and decodes its answers. Callbacks run in a later pass of the
-/// event loop, once each; the client must outlive them.
+/// Encodes requests to the cloud and decodes its responses. Each callback runs once, in a later
+/// iteration of the event loop; the client must outlive it.
 class CloudClient {
   public:
-    /// Called with the machine types; none if there was no valid answer.
+    /// Called with the machine types, or with nullopt if there was no valid response.
     using OnMachineTypes = std::function<void(std::optional<std::vector<wire::MachineType>>)>;
-    /// Called with one page of the machine list; none if there was no valid answer.
+    /// Called with one page of the machine list, or with nullopt if there was no valid response.
     using OnMachineList = std::function<void(std::optional<wire::MachineListPage>)>;
-    /// Called with the answer to a request for machines, or with `unknown` if there was none.
+    /// Called with the result of a request for machines; its outcome is `unknown` if there was no
+    /// conclusive response.
     using OnScaleOut = std::function<void(const ScaleOutResult&)>;
-    /// Called with true if the machines, and all that ran on them, are certainly gone. False proves
-    /// nothing.
+    /// Called with true if the cloud has confirmed that the machines, and with them all processes
+    /// on them, no longer exist. False proves nothing.
     using OnDeletion = std::function<void(bool confirmed)>;
 
     CloudClient(sansio::Context& context, double requests_per_second);
 
-    /// Takes one request from the rate limit. If there is none left, returns false and asks the
-    /// event loop to wake when there is. To be called before each request but list_machine_types(),
-    /// for which the limit leaves room.
+    /// Takes one request from the rate limit. If none is available, returns false and asks for a
+    /// wake of the event loop when one will be. Must be called before each request except
+    /// list_machine_types(), which the rate limit leaves room for.
     bool try_acquire_request();
 
-    /// Reads the machine types and their prices.
+    /// Requests the machine types and their prices.
     void list_machine_types(OnMachineTypes on_response);
-    /// Reads one page of the list of machines: those after the named one, or the first for an empty
-    /// name.
+    /// Requests one page of the list of machines: the page after the machine `after`, or the first
+    /// page if `after` is empty.
     void list_machines(const std::string& after, OnMachineList on_response);
-    /// Requests machines. Repeating a request with the same idempotency key brings no further ones.
+    /// Requests machines. Repeating a request with the same idempotency key grants no further ones.
     void provision(const wire::ScaleOutRequest& request, OnScaleOut on_response);
-    /// Deletes machines. Repeating it is harmless.
+    /// Deletes machines. Repeating the request is harmless.
     void delete_machines(const std::vector<MachineName>& hosts, OnDeletion on_response);
 
   private:
--- a/src/provisioning/demand_collector.cpp
+++ b/src/provisioning/demand_collector.cpp
@@ -12,7 +12,7 @@
 using state::Machine;
 
 namespace {
-constexpr double kUnlimitedCores = 1e12;  // the quota of a team that has none
+constexpr double kUnlimitedCores = 1e12;  // for a team without a quota
 }  // namespace
 
 bool is_excluded_from_capacity(const Machine& machine, const BootMonitor& boot_monitor) {
@@ -60,7 +60,8 @@
         if (cores > 0) demand.tasks = std::min(demand.tasks, std::floor(remaining_cores / cores));
         if (demand.tasks <= 0) continue;
         demand.fits_existing_machine = fits_existing_machine(demand);
-        // For a job that fails everywhere no machine is requested that others do not need.
+        // No machines are requested for a faulty job, whose tasks fail everywhere, unless it fits
+        // on no existing machine.
         if (job.failures.faulty && demand.fits_existing_machine) continue;
         remaining_cores -= demand.tasks * cores;
         collected.push_back(std::move(demand));
--- a/src/provisioning/demand_collector.hpp
+++ b/src/provisioning/demand_collector.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which pending tasks the fleet should be scaled for.
+/// Collects the pending tasks for which the fleet should be scaled out.
 #pragma once
 
 #include <vector>
@@ -13,11 +13,12 @@
 
 namespace dunebridge::provisioning {
 
-/// Whether the machine is about to leave the fleet, or is overdue and to be replaced: it then does
-/// not count as capacity.
+/// Returns true if the machine does not count as capacity: it is being deleted, is cordoned, has a
+/// preemption notice, or is overdue and may be replaced.
 bool is_excluded_from_capacity(const state::Machine& machine, const BootMonitor& boot_monitor);
 
-/// Collects the demand of all jobs that may start. The references must outlive it.
+/// Collects the demand of all jobs that may run tasks. The objects passed by reference must outlive
+/// it.
 class DemandCollector {
   public:
     DemandCollector(state::ClusterState& cluster_state, const BootMonitor& boot_monitor,
@@ -29,7 +30,8 @@
           run_time_estimator_(run_time_estimator),
           config_(config) {}
 
-    /// The pending tasks that could be placed now if there were machines, up to the teams' quotas.
+    /// Returns the pending tasks that could be placed now if the fleet had enough machines, limited
+    /// by the quotas of the teams.
     std::vector<Demand> collect() const;
 
   private:
--- a/src/provisioning/instance_pool.hpp
+++ b/src/provisioning/instance_pool.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The unit in which the cloud has or lacks capacity.
+/// The unit in which the cloud manages capacity: a machine type in a zone, spot or on-demand.
 #pragma once
 
 #include <compare>
@@ -7,8 +7,8 @@
 
 namespace dunebridge::provisioning {
 
-/// Machines of one type in one zone, spot or on-demand. The cloud grants and refuses machines by
-/// pool, so requests, refusals and limits are counted by pool.
+/// Identifies the machines of one type in one zone, either spot or on-demand. The cloud grants and
+/// refuses machines per pool, so requests, backoffs and limits are kept per pool.
 struct InstancePool {
     std::string machine_type;
     std::string zone;
--- a/src/provisioning/load_average.hpp
+++ b/src/provisioning/load_average.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The smoothed number of cores in use.
+/// Moving average of the number of cores in use.
 #pragma once
 
 #include "sansio/context.hpp"
@@ -7,18 +7,19 @@
 
 namespace dunebridge::provisioning {
 
-/// Exponential average of the cores that placed tasks hold, over the last minute or so. The fleet
-/// is sized by it, so that a short dip in load releases no machines.
+/// Exponential moving average of the cores allocated to placed tasks, over about the last minute.
+/// The fleet is sized by this average, so that a short dip in load releases no machines.
 class LoadAverage {
   public:
-    /// The references must outlive it.
+    /// The objects passed by reference must outlive it.
     LoadAverage(const sansio::Context& context, state::ClusterState& cluster_state)
         : context_(context), state_(cluster_state) {}
 
-    /// Another term begins: the next observation is taken as the load, until more has been seen.
+    /// Resets the average for a new term: the next observation becomes the average.
     void reset() { last_observation_ = Instant{}; }
-    /// Takes the cores in use now into the average.
+    /// Adds the number of cores that are in use now to the average.
     void observe();
+    /// Returns the average, in cores.
     double cores() const { return cores_; }
 
   private:
--- a/src/provisioning/machine_deleter.hpp
+++ b/src/provisioning/machine_deleter.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sends deletions of released machines to the cloud.
+/// Deletes released machines in the cloud.
 #pragma once
 
 #include <set>
@@ -12,14 +12,14 @@
 
 namespace dunebridge::provisioning {
 
-/// A queue of machines to be deleted. One request is in flight at a time; a request without
-/// confirmation is repeated, which is harmless.
+/// Queue of machines to be deleted. One request is in flight at a time; an unconfirmed request is
+/// repeated, which is harmless.
 ///
-/// Only a confirmed deletion removes a machine and its tasks from the cluster state, as it proves
-/// that both are gone.
+/// Removes a machine and its tasks from the cluster state only once the deletion is confirmed,
+/// because only the confirmation proves that they no longer exist.
 class MachineDeleter {
   public:
-    /// The references must outlive the deleter.
+    /// The objects passed by reference must outlive the deleter.
     MachineDeleter(sansio::Context& context, CloudClient& cloud, state::ClusterState& cluster_state,
                    state::ReleasedMachines& released_machines)
         : context_(context),
@@ -27,12 +27,12 @@
           state_(cluster_state),
           released_machines_(released_machines) {}
 
-    /// Another term begins: what was queued in the last one is forgotten.
+    /// Resets the state for a new term: clears the queue.
     void reset();
     /// Queues a machine for deletion.
     void enqueue(const MachineName& host) { queue_.insert(host); }
-    /// Sends the next request if there is something to send and the cloud's rate permits. To be
-    /// called in every pass of the event loop on the leader.
+    /// Sends the next request if the queue is not empty and the cloud's rate limit permits. Must be
+    /// called in every iteration of the event loop on the leader.
     void send();
 
   private:
--- a/src/provisioning/machine_inventory.cpp
+++ b/src/provisioning/machine_inventory.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 constexpr Millis kReadInterval{4000};
-// Of the cloud's rate: a long list leaves most of it to scale-out and deletions.
+// Share of the cloud's request rate that reading may use on average: even with a long list most of
+// the rate is left for scale-out and deletions.
 constexpr double kRateShare = 0.25;
 constexpr Millis kPageRetryDelay{200};
 }  // namespace
@@ -45,7 +46,7 @@
 
 void MachineInventory::read_page(const std::string& after, std::uint64_t generation) {
     if (!state_.usable_in(generation)) return;
-    // Each page is a request; the first has been taken from the budget.
+    // Each page is one request; tick() has acquired the request for the first page.
     if (pages_requested_ > 0 && !cloud_.try_acquire_request()) {
         context_.after(kPageRetryDelay,
                        [this, after, generation] { read_page(after, generation); });
@@ -75,7 +76,7 @@
 
 void MachineInventory::apply_row(const wire::MachineListing& row) {
     listed_hosts_.insert(row.host);
-    if (released_machines_.contains(row.host)) return;  // the list is late
+    if (released_machines_.contains(row.host)) return;  // the list lags behind
     auto* machine = state_.find_machine(row.host);
     if (!machine) {
         machine = &state_.add_machine(row.host, row.machine_type, row.zone, row.spot);
@@ -94,7 +95,7 @@
         instance.starting = row.phase == wire::MachinePhase::starting;
     }
     if (row.phase != wire::MachinePhase::failed || instance.failed) return;
-    // A failed machine has stopped: whatever was on it is gone.
+    // A failed machine has stopped, so none of its tasks is running.
     instance.failed = true;
     while (!machine->placements.empty())
         state_.remove(*machine, machine->placements.begin()->first);
--- a/src/provisioning/machine_inventory.hpp
+++ b/src/provisioning/machine_inventory.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Follows the cloud's list of machines.
+/// Updates the cluster state from the cloud's list of machines.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
 
 namespace dunebridge::provisioning {
 
-/// Reads the cloud's machine list page by page, now and then, and takes it into the cluster state.
+/// Reads the cloud's machine list page by page at intervals, and applies it to the cluster state.
 ///
-/// The list lags behind: a machine that is missing from it may exist, and so a missing row proves
-/// nothing by itself. Only a row that reports a machine as failed proves that its tasks are gone.
-/// The references must outlive it.
+/// The list lags behind: a machine that is missing from it may still exist, so a missing row alone
+/// proves nothing. Only a row that reports a machine as failed proves that its tasks no longer run.
+/// The objects passed by reference must outlive the inventory.
 class MachineInventory {
   public:
     /// Called once for each machine that the cloud reports as failed, after its tasks have been
@@ -32,9 +32,10 @@
                      const state::ReleasedMachines& released_machines, const config::Config& config,
                      OnMachineFailed on_machine_failed);
 
-    /// Begins to read the list if that is due. To be called in every pass on the leader.
+    /// Starts to read the list if it is due. Must be called in every iteration of the event loop on
+    /// the leader.
     void tick();
-    /// Another term begins: the list is read again at once.
+    /// Resets the state for a new term: the list is read again as soon as possible.
     void reset();
 
   private:
--- a/src/provisioning/machine_type_fetcher.cpp
+++ b/src/provisioning/machine_type_fetcher.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr Millis kFetchInterval{60000};
 constexpr Millis kRetryDelay{1000};
-// While a request is in flight the event loop need not wake for the next one.
+// While a request is in flight, the event loop is not woken for the next one before this delay.
 constexpr Millis kInFlightWakeDelay{5000};
 }  // namespace
 
--- a/src/provisioning/machine_type_fetcher.hpp
+++ b/src/provisioning/machine_type_fetcher.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Fetches the cloud's machine types and their prices into the catalog that the node shares.
+/// Fetches the cloud's machine types and their prices into the node's machine type catalog.
 #pragma once
 
 #include "provisioning/cloud_client.hpp"
@@ -9,15 +9,16 @@
 namespace dunebridge::provisioning {
 
 /// Keeps a state::MachineTypeCatalog up to date. Every controller fetches the list once, to check
-/// submissions against it; the leader fetches it again each minute, as prices change.
+/// submissions against it. The leader refreshes it every minute because prices change.
 class MachineTypeFetcher {
   public:
-    /// The references must outlive the fetcher.
+    /// The objects passed by reference must outlive the fetcher.
     MachineTypeFetcher(sansio::Context& context, CloudClient& cloud,
                        state::MachineTypeCatalog& catalog)
         : context_(context), cloud_(cloud), catalog_(catalog) {}
 
-    /// Sends a request if one is due. To be called in every pass of the event loop, on every node.
+    /// Sends a request if one is due. Must be called in every iteration of the event loop, on every
+    /// node.
     void tick(bool is_leader);
 
   private:
--- a/src/provisioning/planned_fleet.hpp
+++ b/src/provisioning/planned_fleet.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The fleet as it will be once a plan under construction is carried out.
+/// The fleet as it will be once the scaling plan that is being built has been executed.
 #pragma once
 
 #include <cstddef>
@@ -11,25 +11,28 @@
 
 namespace dunebridge::provisioning {
 
-/// Counts the machines that are available or requested, and those that the plan adds or releases.
+/// Counts the cores and machines that are available or requested, as changed by the plan.
 class PlannedFleet {
   public:
-    /// Begins with the machines that are available and those requested before.
+    /// Starts with the available machines and those whose request the cloud has not answered yet.
     explicit PlannedFleet(const ScalingInput& input);
 
+    /// Returns the number of cores of the planned fleet.
     double cores() const { return cores_; }
+    /// Returns the number of machines of the planned fleet in the zone.
     std::size_t machines_in_zone(const std::string& zone) const;
-    /// What the plan requests so far, one step a pool, in the order in which pools were chosen.
+    /// Returns the requests of the plan so far: one step per pool, in the order in which the pools
+    /// were selected.
     const std::vector<ScaleOutStep>& scale_out() const { return scale_out_; }
-    /// Number of machines that the plan requests so far, over all pools.
+    /// Returns the number of machines that the plan requests so far, over all pools.
     std::size_t requested() const { return requested_; }
-    /// Whether the plan requests all that it may from a pool whose machines have not come up
-    /// lately. Spot and on-demand machines of a type and zone share the limit.
+    /// Returns true if the pool is unhealthy and the plan already requests as many machines as its
+    /// limit allows. Spot and on-demand machines of the same type and zone share the limit.
     bool limit_reached(const ScalingInput& input, const InstancePool& pool) const;
 
-    /// The plan requests another machine, of so many cores.
+    /// Adds a request for one machine with `cores` cores to the plan.
     void add(const InstancePool& pool, double cores);
-    /// The plan releases a machine of so many cores.
+    /// Subtracts the cores of a machine that the plan releases.
     void remove(double cores) { cores_ -= cores; }
 
   private:
--- a/src/provisioning/pool_selection.cpp
+++ b/src/provisioning/pool_selection.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The boot time is paid for; this much use follows it.
+// The boot time is paid for too. The cost model assumes this time of use after the boot.
 constexpr double kUseAfterBoot_s = 150;
 constexpr double kUnneededCoresPenalty = 0.3;
 constexpr double kZoneSharePenalty = 0.02;
@@ -33,7 +33,7 @@
 
 double cost_per_core(const wire::MachineType& type, const InstancePool& pool,
                      const PlannedFleet& fleet, double missing_cores) {
-    // A machine larger than what is wanted is partly paid for nothing, at first.
+    // A machine with more cores than are missing is not fully used at first, but paid for in full.
     const double unneeded_share = std::max(0.0, type.cores - missing_cores) / type.cores;
     const auto in_zone = static_cast<double>(fleet.machines_in_zone(pool.zone));
     return (pool.spot ? type.low_price : type.rate) / type.cores *
--- a/src/provisioning/pool_selection.hpp
+++ b/src/provisioning/pool_selection.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Which pool a further machine is requested from.
+/// Selects the pool from which an additional machine is requested.
 #pragma once
 
 #include <optional>
@@ -9,23 +9,23 @@
 
 namespace dunebridge::provisioning {
 
-/// What a machine is wanted for.
+/// Requirements for an additional machine.
 struct MachineRequirement {
-    const Demand* demand = nullptr;  ///< that it must be able to hold; null: anything
-    double missing_cores = 0;        ///< a machine with more is partly paid for nothing
-    bool on_demand_allowed = false;  ///< on-demand machines may be taken, not only spot ones
+    const Demand* demand = nullptr;  ///< tasks that it must be able to hold; null: any
+    double missing_cores = 0;        ///< cores beyond this number are paid for but not needed
+    bool on_demand_allowed = false;  ///< false: only spot machines may be requested
 };
 
-/// A pool, and the cores of one of its machines.
+/// The selected pool and the number of cores of one of its machines.
 struct SelectedPool {
     InstancePool pool;
     double cores = 0;
 };
 
-/// The pool with the lowest cost per core that meets the requirement; none if there is no such
-/// pool. Pools that have reached their limit are used only if no other is left. The cost grows with
-/// the machines in the zone, so that the loss of one zone, or a wave of preemptions in it, takes a
-/// smaller part of the fleet.
+/// Returns the pool with the lowest cost per core that meets the requirement, or nullopt if there
+/// is none. Unhealthy pools that have reached their limit are used only if no other pool is left.
+/// The cost increases with the number of machines in the zone, so that the loss of a zone, or many
+/// preemptions in it, affects a smaller part of the fleet.
 std::optional<SelectedPool> select_pool(const ScalingInput& input, const PlannedFleet& fleet,
                                         const MachineRequirement& requirement);
 
--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr Millis kResizeInterval{1000};
-// A new leader releases no idle machines before it has observed the load for so long.
+// A new leader releases no idle machines before it has observed the load for this time.
 constexpr Millis kObservationTime{20000};
 constexpr Millis kSocketWarningInterval{60000};
 }  // namespace
@@ -85,7 +85,8 @@
 MachineCapacity Provisioner::capacity_of(const Machine& machine) const {
     const auto* type = machine_types_.find(machine.machine_type);
     const auto& worker = machine.worker;
-    // Up long ago by the cloud's list, and yet without a heartbeat in this term: most likely gone.
+    // The cloud's list shows it as booted, but it has sent no heartbeat in this term: most likely
+    // it no longer exists.
     const bool lost =
         !worker.heartbeat_received && !machine.instance.starting && liveness_.is_late(machine);
     const bool idle = worker.heartbeat_received && machine.placements.empty();
@@ -118,8 +119,8 @@
     return input;
 }
 
-// With more machines than sockets, workers share connections and each opens one anew for its
-// heartbeats: that is slower and costs processor time.
+// With more machines than sockets, the workers have to share the sockets and each one opens a new
+// connection for its heartbeats, which is slower and costs CPU time.
 void Provisioner::warn_if_too_few_sockets(const ScalingInput& input) {
     const auto sockets = config::SocketBudget(config_.fd_limit).front;
     if (input.machines.size() <= sockets || context_.now() < next_socket_warning_) return;
--- a/src/provisioning/provisioner.hpp
+++ b/src/provisioning/provisioner.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps the fleet as large as the work needs.
+/// Scales the fleet out and in with the load.
 #pragma once
 
 #include "config/config.hpp"
@@ -22,8 +22,8 @@
 
 namespace dunebridge::provisioning {
 
-/// Runs everything that concerns the cloud: requests machines, follows the cloud's list of them,
-/// and releases those that are idle or lost. The references must outlive it.
+/// Runs all parts that use the cloud: requests machines, reads the cloud's machine list, and
+/// releases machines that are idle or lost. The objects passed by reference must outlive it.
 class Provisioner {
   public:
     Provisioner(sansio::Context& context, coordination::Election& election,
@@ -32,13 +32,14 @@
                 state::MachineTypeCatalog& machine_types,
                 const state::RunTimeEstimator& run_time_estimator, const config::Config& config);
 
-    /// Keeps the machine types up to date. To be called on every node in every pass of the event
-    /// loop.
+    /// Keeps the machine types up to date. Must be called on every node in every iteration of the
+    /// event loop.
     void tick_machine_types() { machine_type_fetcher_.tick(election_.is_leader()); }
-    /// Does what is due. To be called on the leader in every pass, once the cluster state is
-    /// loaded.
+    /// Performs all provisioning work that is due. Must be called on the leader in every iteration
+    /// of the event loop, once the cluster state is loaded.
     void tick();
-    /// Another term begins. Learnt boot times are kept; for some time no idle machine is released.
+    /// Resets the state for a new term. Estimated boot times are kept. No idle machine is released
+    /// until the load has been observed for some time.
     void reset();
 
   private:
--- a/src/provisioning/release_policy.cpp
+++ b/src/provisioning/release_policy.cpp
@@ -9,15 +9,17 @@
 using state::Machine;
 
 namespace {
-// So many heartbeats of a machine with tasks may be missed before the machine is released.
+// A machine with tasks is released only after it has missed this number of heartbeats, unless its
+// lease has expired before.
 constexpr int kMinMissedHeartbeats = 7;
 constexpr Millis kSilenceMargin{3000};
-// How long a machine without tasks may stay without a heartbeat to this term's leader.
+// Time for a machine without tasks to send its first heartbeat to this term's leader.
 constexpr Millis kFirstHeartbeatTimeout{15000};
-// If so many machines, and more than half of the fleet, are silent at once, the cause is more
-// likely this controller's own network.
+// If at least this number of machines, and more than half of the fleet, are silent at once, the
+// cause is more likely the network of this controller.
 constexpr std::size_t kMinSilentMachines = 3;
-// The cloud's list lags: a machine counts as missing from it only after so many lists.
+// The cloud's list lags behind: a machine counts as missing only after this number of lists in a
+// row without it.
 constexpr std::uint32_t kMinMissedListings = 2;
 }  // namespace
 
@@ -69,9 +71,10 @@
     return reason_without_heartbeat(machine);
 }
 
-// How long a silent machine with tasks is waited for. A short network failure ends by itself, and
-// the tasks have run on meanwhile; after some missed heartbeats it is quicker to delete the
-// machine, which proves the tasks gone, than to wait for a long lease to expire.
+// Returns how long a machine with tasks may be silent before it is released. A short network
+// failure ends without intervention, and the tasks continue to run during it. After several missed
+// heartbeats, deleting the machine, which proves that its tasks have stopped, is faster than
+// waiting for a long lease to expire.
 Millis ReleasePolicy::silence_limit() const {
     return std::min(
         config_.worker_lease + kSilenceMargin,
@@ -93,7 +96,8 @@
     const Machine& machine) const {
     const auto known_for = context_.now() - machine.worker.first_known_at;
     const bool missing = machine.instance.missed_listings >= kMinMissedListings;
-    // An earlier leader may have deleted it without seeing the confirmation: the list is late.
+    // An earlier leader may have deleted the machine without receiving the confirmation. As the
+    // list lags behind, a missing row counts only after several times the lag.
     const auto list_limit = config_.machine_list_lag * 3 + kSilenceMargin;
     if (missing && known_for > list_limit) return ScaleInReason::missing_from_list;
     if (known_for <= kFirstHeartbeatTimeout) return std::nullopt;
@@ -111,11 +115,11 @@
     const auto& instance = machine.instance;
     const bool missing = instance.listed && instance.missed_listings >= kMinMissedListings;
     if (missing && missed_two) return ScaleInReason::missing_from_list;
-    // No command reaches it, and its lease expires by itself.
+    // Without acknowledged replies, no command reaches the machine and its lease is not renewed.
     if (liveness_.unresponsive_for(machine) > silence_limit()) {
         return ScaleInReason::replies_unacknowledged;
     }
-    // More likely this controller's own network than a failure of so many machines at once.
+    // This controller's network has more likely failed than most machines at once.
     const bool lease_long_expired = liveness_.is_silent(machine, config_.worker_lease * 2);
     if (most_machines_silent_ && !lease_long_expired) return std::nullopt;
     const auto limit = machine.placements.empty() ? config_.worker_lease : silence_limit();
--- a/src/provisioning/release_policy.hpp
+++ b/src/provisioning/release_policy.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Why a machine is released.
+/// Decides when a machine is released, and for what reason.
 #pragma once
 
 #include <cstdint>
@@ -13,32 +13,32 @@
 
 namespace dunebridge::provisioning {
 
-/// Why a machine is released, as operators see it in the log (docs/operations.md).
+/// Reason for the release of a machine, as operators see it in the log (docs/operations.md).
 enum class ScaleInReason : std::uint8_t {
-    idle,                      ///< it has had no tasks for long enough and is not needed
+    idle,                      ///< it has had no tasks for the idle timeout and is not needed
     drained,                   ///< it was cordoned and has no tasks left
-    boot_timeout,              ///< it never came up
+    boot_timeout,              ///< it did not boot in time
     failed,                    ///< the cloud reports it as failed
-    preempted,                 ///< the time of its preemption notice has come, and it is silent
-    missing_from_list,         ///< the cloud's machine list lacks it
+    preempted,                 ///< its announced preemption time has passed and it is silent
+    missing_from_list,         ///< several of the cloud's machine lists in a row lack it
     no_heartbeat_this_term,    ///< it has sent no heartbeat to this term's leader
     heartbeats_lost,           ///< its heartbeats have stopped
     replies_unacknowledged,    ///< its heartbeats arrive, but it acknowledges no reply
-    cancellation_unconfirmed,  ///< tasks of a cancelled job are not confirmed gone in time
+    cancellation_unconfirmed,  ///< tasks of an ended job were not confirmed stopped in time
 };
 
-/// The word for the reason in the log.
+/// Returns the value that the log shows for the reason.
 const char* to_string(ScaleInReason reason);
 
-/// Decides whether a machine is to be released because it is lost, stuck, drained or preempted. It
-/// changes nothing. Idle machines are not its concern: the scaling plan chooses among them.
+/// Decides whether a machine is released because it is lost, unresponsive, drained or preempted.
+/// Does not change the cluster state. Idle machines are selected by the scaling plan instead.
 ///
-/// A machine whose heartbeats stop may still run its tasks: silence, and a row missing from the
-/// cloud's list, prove nothing. Releasing it is what makes it certain, as a confirmed deletion
-/// proves that the machine and its tasks are gone.
+/// A machine whose heartbeats stop may still run its tasks: neither missing heartbeats nor a row
+/// missing from the cloud's list proves that it is gone. Such a machine is released because a
+/// confirmed deletion does prove that the machine and its tasks no longer exist.
 class ReleasePolicy {
   public:
-    /// The references must outlive the policy.
+    /// The objects passed by reference must outlive the policy.
     ReleasePolicy(const sansio::Context& context, state::ClusterState& cluster_state,
                   const state::WorkerLiveness& liveness, const BootMonitor& boot_monitor,
                   const config::Config& config)
@@ -48,12 +48,13 @@
           boot_monitor_(boot_monitor),
           config_(config) {}
 
-    /// Looks at the fleet as a whole. To be called before the machines are judged one by one.
+    /// Updates the conditions that concern the whole fleet. Must be called before the queries
+    /// below.
     void observe_fleet();
-    /// Why the machine is to be released now; none: it is kept.
+    /// Returns the reason to release the machine now, or nullopt if it is kept.
     std::optional<ScaleInReason> reason_to_release(const state::Machine& machine) const;
-    /// Whether the machine has held tasks of an ended job for too long. Such tasks must be gone by
-    /// the cancellation deadline, whether the machine can be reached or not.
+    /// Returns true if the machine has held tasks of an ended job for too long. Such tasks must
+    /// have stopped by the cancellation deadline, whether the machine is reachable or not.
     bool holds_tasks_of_ended_job_too_long(const state::Machine& machine) const;
 
   private:
@@ -69,7 +70,7 @@
     const BootMonitor& boot_monitor_;
     const config::Config& config_;
     bool most_machines_silent_ = false;
-    bool ended_jobs_hold_tasks_ = false;  // some machine has tasks of a job that has ended
+    bool ended_jobs_hold_tasks_ = false;  // some machine holds tasks of an ended job
 };
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr Millis kCheckInterval{250};
-// Time for the stop command to arrive, and for a preemption that comes earlier than announced.
+// Allows for the delivery of the stop command and for a preemption earlier than announced.
 constexpr Millis kCheckpointMargin{3000};
 }  // namespace
 
@@ -54,8 +54,8 @@
     if (type) machine.capacity = {type->cores, type->accelerators, type->ram_gb};
 }
 
-// On a cordoned machine every task is stopped. On one that is to be preempted, tasks that can save
-// a checkpoint are stopped just in time for that; the others run on for as long as they can.
+// On a cordoned machine, all tasks are stopped. On a machine with a preemption notice, tasks that
+// can save a checkpoint are stopped just in time to save it; the others run until the preemption.
 void ScaleIn::stop_tasks_on_leaving_machine(Machine& machine) {
     if (!machine.worker.preemption_at && !machine.worker.cordoned) return;
     for (auto& [key, placement] : machine.placements) {
--- a/src/provisioning/scale_in.hpp
+++ b/src/provisioning/scale_in.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Releases machines: those that the release policy names, and those that others ask for.
+/// Releases machines that the release policy selects or that a caller names.
 #pragma once
 
 #include "config/config.hpp"
@@ -15,8 +15,8 @@
 
 namespace dunebridge::provisioning {
 
-/// Releases machines and deletes them in the cloud. Runs on the leader; the references must outlive
-/// it.
+/// Releases machines and deletes them in the cloud. Runs on the leader. The objects passed by
+/// reference must outlive it.
 class ScaleIn {
   public:
     ScaleIn(sansio::Context& context, CloudClient& cloud, state::ClusterState& cluster_state,
@@ -24,15 +24,15 @@
             const state::MachineTypeCatalog& machine_types, const BootMonitor& boot_monitor,
             const config::Config& config);
 
-    /// Another term begins.
+    /// Resets the state for a new term: clears the queue of deletions.
     void reset() { deleter_.reset(); }
-    /// Applies the release policy to all machines, a few times a second at most. Also stops the
-    /// tasks of machines that are about to leave the fleet.
+    /// Applies the release policy to all machines, at most a few times per second. Also stops tasks
+    /// on cordoned machines and on machines with a preemption notice.
     void check_machines();
-    /// Marks the machine as being deleted and queues its deletion; does nothing if that has been
-    /// done. Its tasks stay in the cluster state until the cloud confirms the deletion.
+    /// Marks the machine as being deleted and queues its deletion; does nothing if it is already
+    /// being deleted. Its tasks stay in the cluster state until the cloud confirms the deletion.
     void release(state::Machine& machine, ScaleInReason reason);
-    /// Sends queued deletions.
+    /// Sends queued deletions as far as the cloud's rate limit permits.
     void send_deletions() { deleter_.send(); }
 
   private:
--- a/src/provisioning/scale_in_decision.cpp
+++ b/src/provisioning/scale_in_decision.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The share of the idle timeout after which an on-demand machine, which costs more, is released.
+// On-demand machines cost more, so they are released after this fraction of the idle timeout.
 constexpr double kOnDemandIdleTimeoutRatio = 0.4;
 
 double price_per_core(const ScalingInput& input, const InstancePool& pool) {
@@ -19,7 +19,7 @@
     return 0;
 }
 
-// Whether some pending task could run on a machine of the pool.
+// Returns true if a machine of the pool could hold some pending task.
 bool usable_by_pending_tasks(const ScalingInput& input, const InstancePool& pool) {
     const auto type =
         std::find_if(input.machine_types.begin(), input.machine_types.end(),
@@ -37,7 +37,7 @@
     return machine.available && machine.idle_for > input.idle_timeout * share;
 }
 
-// Of two idle machines, the one that ranks higher is released first.
+// Order of release: the idle machine with the higher rank is released first.
 struct ReleaseRank {
     double price_per_core = 0;
     Seconds idle_for{0};
@@ -68,7 +68,7 @@
         std::max(input.average_used_cores * input.headroom, input.placed_cores);
     for (const auto index : release_candidates(input)) {
         const auto& machine = input.machines[index];
-        // Pending tasks are no reason to keep a machine that none of them can use.
+        // A machine that no pending task can use is not kept for the backlog.
         const bool usable = usable_by_pending_tasks(input, machine.pool);
         if (scaling_out && usable) continue;
         const double min_cores = usable ? target_cores : cores_for_load;
--- a/src/provisioning/scale_in_decision.hpp
+++ b/src/provisioning/scale_in_decision.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The part of a scaling plan that makes the fleet smaller.
+/// The scale-in part of a scaling plan.
 #pragma once
 
 #include <cstddef>
@@ -10,10 +10,10 @@
 
 namespace dunebridge::provisioning {
 
-/// Chooses idle machines to be released and takes them out of the planned fleet. To be called after
-/// decide_scale_out(): while the plan requests machines, a machine that some pending task could use
-/// is kept.
-/// \return indices into ScalingInput::machines, the most expensive core first.
+/// Selects idle machines to release and removes them from the planned fleet. Must be called after
+/// decide_scale_out(): while the plan requests machines, machines that a pending task could use are
+/// kept.
+/// \return indices into ScalingInput::machines, ordered by decreasing price per core.
 std::vector<std::size_t> decide_scale_in(const ScalingInput& input, double target_cores,
                                          PlannedFleet& fleet);
 
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -10,11 +10,12 @@
 
 namespace {
 constexpr Millis kRetryDelay{1000};
-// The first and the longest backoff of a pool that has refused.
+// Initial and maximum backoff of a pool that lacks capacity.
 constexpr Millis kMinBackoff{15000};
 constexpr Millis kMaxBackoff{60000};
 constexpr std::uint64_t kMaxMachinesPerRequest = 50;
-// The record of a request names its machines: its size without any, and for each one.
+// Estimated size of a request's record, which lists the granted machines: without machines, and the
+// increase per machine.
 constexpr std::size_t kBaseRecordBytes = 400;
 constexpr std::size_t kBytesPerHost = 30;
 
@@ -49,7 +50,7 @@
                           std::min<std::uint64_t>(count, max_machines)});
 }
 
-// The term keeps keys of different leaders apart.
+// The term makes the keys of different leaders distinct.
 std::string ScaleOut::key_prefix() const { return fmt::format("{}-", election_.term().get()); }
 
 bool ScaleOut::requested_in_this_term(const std::string& idempotency_key) const {
@@ -126,7 +127,7 @@
 
 void ScaleOut::add_machines(const std::string& idempotency_key, const ScaleOutResult& result) {
     auto hosts = result.hosts;
-    // A repeated request may name machines that have been deleted since.
+    // The response to a repeated request may name machines that have been deleted since.
     std::erase_if(hosts, [&](const auto& host) { return released_machines_.contains(host); });
     state_.scale_out_answered(idempotency_key, hosts);
     for (const auto& host : hosts) {
--- a/src/provisioning/scale_out.hpp
+++ b/src/provisioning/scale_out.hpp
@@ -20,25 +20,26 @@
 
 /// Requests machines, with an idempotency key for each request.
 ///
-/// A request is on record before it is sent, so that a later leader can repeat it under the same
-/// key and learn which machines it has brought: no machine is paid for and forgotten. The
-/// references must outlive it.
+/// A request is committed to the key-value store before it is sent. A later leader can therefore
+/// repeat it with the same key and learn which machines were granted, so that no machine is paid
+/// for without being known. The objects passed by reference must outlive it.
 class ScaleOut {
   public:
     ScaleOut(sansio::Context& context, CloudClient& cloud, coordination::Election& election,
              state::ClusterState& cluster_state, const state::ReleasedMachines& released_machines,
              const config::Config& config);
 
-    /// Another term begins: requests on record are sent again.
+    /// Resets the state for a new term: recorded requests without a response are sent again.
     void reset();
-    /// Records a request for machines, to be sent once it is committed. A request can hold only so
-    /// many machines; for those above that the caller has to ask again.
+    /// Records a request for machines, which is sent once it is committed. The number of machines
+    /// per request is limited; the caller must request the remaining ones later.
     void request(const InstancePool& pool, std::size_t count);
-    /// Sends the requests that are committed and not answered, as far as the cloud's rate permits.
+    /// Sends the committed requests that the cloud has not answered, as far as its rate limit
+    /// permits.
     void send();
-    /// Pools that have refused lately.
+    /// Returns the pools that are in backoff because they recently lacked capacity.
     std::set<InstancePool> in_backoff() const;
-    /// Machines requested whose request the cloud has not answered, by pool.
+    /// Returns, for each pool, the number of machines in requests that the cloud has not answered.
     std::map<InstancePool, std::size_t> outstanding_machines() const;
 
   private:
@@ -62,7 +63,7 @@
     std::set<std::string> in_flight_;          // idempotency keys
     std::map<std::string, Instant> retry_at_;  // by idempotency key
     std::map<InstancePool, Backoff> backoffs_;
-    std::uint64_t request_count_ = 0;  // in this term
+    std::uint64_t request_count_ = 0;  // number of requests in this term
 };
 
 }  // namespace dunebridge::provisioning
--- a/src/provisioning/scale_out_decision.cpp
+++ b/src/provisioning/scale_out_decision.cpp
@@ -10,8 +10,9 @@
 namespace {
 
 constexpr std::size_t kMaxMachinesPerPlan = 40;
-// On-demand machines cost a multiple of spot ones: they are worth it only for a backlog that would
-// outlast a boot by this factor.
+// On-demand machines cost a multiple of spot machines. They are worth their price only if the
+// planned fleet would need longer than this multiple of the shortest boot time to process the
+// backlog.
 constexpr double kOnDemandBacklogFactor = 1.5;
 
 double total_core_seconds(const Demand& demand) {
@@ -27,7 +28,8 @@
     }
 }
 
-// The demand with the most work decides what kind of machine is worth adding.
+// Returns the demand with the most work, which determines the machine type to add; null if there is
+// no demand.
 const Demand* largest_demand(const ScalingInput& input) {
     const auto it = std::max_element(input.demand.begin(), input.demand.end(),
                                      [](const Demand& a, const Demand& b) {
--- a/src/provisioning/scale_out_decision.hpp
+++ b/src/provisioning/scale_out_decision.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The part of a scaling plan that enlarges the fleet.
+/// The scale-out part of a scaling plan.
 #pragma once
 
 #include "provisioning/planned_fleet.hpp"
@@ -7,9 +7,9 @@
 
 namespace dunebridge::provisioning {
 
-/// Adds machines to the planned fleet: first one for each demand that no present machine could
-/// hold, then as many as are missing to the target.
-/// \param backlog_core_seconds the work that is pending.
+/// Adds machines to the planned fleet: first one for each demand that fits on no existing machine,
+/// then as many as are needed to reach the target, up to a limit per plan.
+/// \param backlog_core_seconds estimated work of all pending tasks.
 void decide_scale_out(const ScalingInput& input, double target_cores, double backlog_core_seconds,
                       PlannedFleet& fleet);
 
--- a/src/provisioning/scaling_plan.cpp
+++ b/src/provisioning/scaling_plan.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// A task shorter than this does not fill a machine for the whole horizon, and counts as this long.
+// Minimum run time assumed per task, as a shorter task does not occupy a machine for the whole
+// backlog horizon.
 constexpr Seconds kMinRunTime{5};
 
 double backlog_core_seconds(const ScalingInput& input) {
--- a/src/provisioning/scaling_plan.hpp
+++ b/src/provisioning/scaling_plan.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// How large the fleet should be: a pure function of demand, load and prices. It has no state and
-/// sends nothing; Provisioner collects its input and carries out its result.
+/// Plans the size of the fleet as a pure function of demand, load and prices, without state or I/O.
+/// Provisioner collects the input and executes the plan.
 #pragma once
 
 #include <cstddef>
@@ -17,61 +17,63 @@
 
 namespace dunebridge::provisioning {
 
-/// Pending tasks of one job, which all need the same resources and are planned as a class.
+/// The pending tasks of one job, which all need the same resources and are planned together.
 struct Demand {
     Resources task_resources;  ///< of one task
     bool spot_allowed = false;
-    std::optional<std::vector<std::string>> machine_types;  ///< none: any type will do
-    std::string zone;                                       ///< empty: any zone will do
-    double tasks = 0;     ///< a whole number; a double as it is multiplied by cores
+    std::optional<std::vector<std::string>> machine_types;  ///< nullopt: any type
+    std::string zone;                                       ///< empty: any zone
+    double tasks = 0;     ///< an integer; a double because it is multiplied by cores
     Seconds run_time{0};  ///< expected for one task
-    /// Some machine of the fleet could hold one such task if the machine were empty.
+    /// True if some machine of the fleet, when empty, could hold one of the tasks.
     bool fits_existing_machine = false;
 };
 
-/// What one machine of the fleet contributes.
+/// The capacity that one machine of the fleet contributes.
 struct MachineCapacity {
     InstancePool pool;
     double cores = 0;
     Seconds idle_for{0};     ///< zero while the machine has tasks
-    bool available = false;  ///< up or booting, and not about to leave the fleet
+    bool available = false;  ///< counts as capacity: up or booting, and not leaving the fleet
 };
 
-/// Everything that a plan depends on.
+/// All data that a scaling plan depends on.
 struct ScalingInput {
     std::vector<wire::MachineType> machine_types;
     std::vector<Demand> demand;
     std::vector<MachineCapacity> machines;
-    /// Machines that have been requested and that the cloud has not answered for yet.
+    /// Number of machines, for each pool, in requests that the cloud has not answered yet.
     std::map<InstancePool, std::size_t> outstanding_machines;
-    /// Pools that have refused lately: nothing is requested from them.
+    /// Pools that recently lacked capacity; nothing is requested from them.
     std::set<InstancePool> in_backoff;
-    /// For pools whose machines have not come up lately: how many more may be requested. A limit
-    /// is exceeded only where no other pool is left.
+    /// For each unhealthy pool, whose machines have not booted in time, how many more machines may
+    /// be requested. A limit is exceeded only if no other pool is left.
     std::map<InstancePool, std::size_t> unhealthy_pool_limits;
-    double placed_cores = 0;        ///< held by tasks now
-    double average_used_cores = 0;  ///< smoothed over the last minute or so
-    double headroom = 1.25;         ///< capacity wanted over the average in use
-    Seconds shortest_boot{30};      ///< a backlog that is worked off sooner needs no new machine
-    Seconds backlog_horizon{40};    ///< within which the backlog should be worked off
-    Seconds idle_timeout{60};       ///< after which an idle machine may be released
+    double placed_cores = 0;        ///< allocated to placed tasks now
+    double average_used_cores = 0;  ///< moving average over about the last minute
+    double headroom = 1.25;         ///< ratio of target cores to average used cores
+    /// Smallest nominal boot time of all machine types. A backlog that is processed sooner needs no
+    /// new on-demand machines.
+    Seconds shortest_boot{30};
+    Seconds backlog_horizon{40};  ///< time within which the backlog should be processed
+    Seconds idle_timeout{60};     ///< idle spot machines may be released after this time
 };
 
-/// So many machines to be requested from one pool.
+/// A number of machines to request from one pool.
 struct ScaleOutStep {
     InstancePool pool;
     std::size_t count = 0;
 };
 
-/// What is to be done.
+/// The result of planning: the target size, and the machines to request and to release.
 struct ScalingPlan {
     double target_cores = 0;
-    std::vector<ScaleOutStep> scale_out;  ///< one step a pool, in the order of choice
+    std::vector<ScaleOutStep> scale_out;  ///< one step per pool, in the order of selection
     std::vector<std::size_t> scale_in;    ///< indices into ScalingInput::machines
 };
 
-/// Decides which machines to request and which to release. Deterministic: the same input gives the
-/// same plan.
+/// Decides which machines to request and which to release. Deterministic: equal input results in an
+/// equal plan.
 ScalingPlan plan_scaling(const ScalingInput& input);
 
 }  // namespace dunebridge::provisioning
