--- a/src/scheduler/availability_estimator.cpp
+++ b/src/scheduler/availability_estimator.cpp
@@ -8,12 +8,12 @@
     const auto slack_s = to_seconds(config_.tuning.slack);
     double earliest_s = 0;
     for (const auto& [key, placement] : machine.placements) {
-        const double ran_s = (placement.running_since != Instant{})
-                                 ? to_seconds(context_.now() - placement.running_since)
-                                 : 0;
+        const double elapsed_s = (placement.running_since != Instant{})
+                                     ? to_seconds(context_.now() - placement.running_since)
+                                     : 0;
         const double expected_s = run_time_estimator_.expected_s(*placement.job);
-        const double left_s = std::max(0.0, expected_s - ran_s) + slack_s;
-        earliest_s = earliest_s == 0 ? left_s : std::min(earliest_s, left_s);
+        const double remaining_s = std::max(0.0, expected_s - elapsed_s) + slack_s;
+        earliest_s = earliest_s == 0 ? remaining_s : std::min(earliest_s, remaining_s);
     }
     return earliest_s;
 }
--- a/src/scheduler/availability_estimator.hpp
+++ b/src/scheduler/availability_estimator.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// When the tasks of a machine are expected to end.
+/// Estimates of when capacity on a machine becomes free.
 #pragma once
 
 #include "config/config.hpp"
@@ -9,8 +9,10 @@
 
 namespace dunebridge::scheduler {
 
-/// Estimates when a machine that is full has room again. Used to rank machines, never to decide
-/// whether a task fits.
+/// Estimates when a full machine will have free capacity again.
+///
+/// The estimates are used only to rank machines, never to decide whether a task fits. The objects
+/// passed to the constructor must outlive the estimator.
 class AvailabilityEstimator {
   public:
     AvailabilityEstimator(const sansio::Context& context,
@@ -18,8 +20,9 @@
                           const config::Config& config)
         : context_(context), run_time_estimator_(run_time_estimator), config_(config) {}
 
-    /// The paper's earliest available time: seconds until the first of the machine's tasks is
-    /// expected to end, plus the slack that the settings give; 0 for a machine without tasks.
+    /// Returns the earliest available time, as the MBFCBS algorithm defines it: the number of
+    /// seconds until the first of the machine's tasks is expected to end, plus the configured
+    /// slack. Returns 0 for a machine without tasks.
     double earliest_available_s(const state::Machine& machine) const;
 
   private:
--- a/src/scheduler/best_fit_placement.hpp
+++ b/src/scheduler/best_fit_placement.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Places pending tasks on machines that have room now, by best fit.
+/// Best-fit placement of pending tasks on machines that have enough free capacity now.
 #pragma once
 
 #include <cstddef>
@@ -12,24 +12,27 @@
 
 namespace dunebridge::scheduler {
 
-/// Places a job's tasks machine after machine, the fullest first.
+/// Places the tasks of a job on one machine after another, starting with the fullest.
+///
+/// It keeps state for the length of one scheduling pass; clear() must be called at the end of the
+/// pass.
 class BestFitPlacement {
   public:
     BestFitPlacement(state::ClusterState& cluster_state, CapacityTable& capacities)
         : state_(cluster_state), capacities_(capacities) {}
 
-    /// Places up to `max_tasks` pending tasks of the job; returns how many it has placed.
+    /// Places up to `max_tasks` pending tasks of the job. Returns the number of tasks placed.
     std::size_t place(state::Job& job, std::size_t max_tasks);
-    /// Ends the pass.
+    /// Discards the state of the current scheduling pass.
     void clear() { unplaceable_shapes_.clear(); }
 
   private:
-    std::size_t fill(state::Job& job, MachineIndex index, std::size_t max_tasks);
+    std::size_t place_on_machine(state::Job& job, MachineIndex index, std::size_t max_tasks);
 
     state::ClusterState& state_;
     CapacityTable& capacities_;
-    /// Shapes of which a task was found to fit no machine in this pass. Free capacity only shrinks
-    /// during a pass, so that no other task of the shape fits either.
+    /// Shapes for which no machine had room in this pass. Free capacity only shrinks during a pass,
+    /// so other tasks of the same shape cannot fit either and are not tried.
     std::set<TaskShape> unplaceable_shapes_;
 };
 
--- a/src/scheduler/bin_packing.cpp
+++ b/src/scheduler/bin_packing.cpp
@@ -8,26 +8,28 @@
 
 namespace {
 
-/// Rank of a machine that can take a task now; the greatest goes first.
+/// Rank of a machine that can run a task now. The machine with the greatest rank comes first.
 struct BestFitRank {
     double used_share = 0;
     bool has_image = false;
-    double negative_size = 0;  // a smaller machine goes first
+    double negative_cores = 0;  // negated, so that smaller machines rank higher
     auto operator<=>(const BestFitRank&) const = default;
 };
 
+/// A machine and its rank.
 template <class Rank>
 struct RankedMachine {
     Rank rank;
     MachineIndex machine;
 };
 
+// Returns the fraction of the machine's cores that is allocated; 0 if it has no cores.
 double used_share(const FreeCapacity& machine) {
     if (machine.total.cores <= 0) return 0;
     return 1.0 - machine.free.cores / machine.total.cores;
 }
 
-/// The machines by rank, the greatest first; machines of equal rank keep their order.
+/// Returns the machines in descending order of rank. Machines of equal rank keep their order.
 template <class Rank>
 std::vector<MachineIndex> sort_by_rank(std::vector<RankedMachine<Rank>> ranked) {
     std::stable_sort(ranked.begin(), ranked.end(),
--- a/src/scheduler/bin_packing.hpp
+++ b/src/scheduler/bin_packing.hpp
@@ -1,8 +1,9 @@
 /// \file
-/// Bin packing: the order in which machines are filled with the tasks of a job.
+/// Bin packing: the order in which the tasks of a job are placed on machines.
 ///
-/// Tasks that require the same are decided as a class. Once the fullest machine has taken one, it
-/// is fuller still, so best fit fills the machines one after the other in a single order.
+/// Tasks with the same requirements are ranked once, as a group. A machine that receives a task
+/// becomes fuller and so remains the best fit, so one ranking is enough to fill the machines one
+/// after another.
 #pragma once
 
 #include <cstddef>
@@ -13,37 +14,40 @@
 
 namespace dunebridge::scheduler {
 
-/// Position of a machine in the list of free capacities that is ranked.
+/// Index of a machine in the vector of free capacities that is ranked.
 using MachineIndex = std::size_t;
 
 /// Free capacity of a machine.
 struct FreeCapacity {
+    /// The whole capacity of the machine.
     Resources total;
-    /// What no task takes now.
+    /// Capacity that is not allocated to any task now.
     Resources free;
-    /// What will be free once the tasks that are being stopped are gone, less what is set aside for
-    /// the tasks that they are stopped for.
+    /// Capacity that will be free once the tasks that are being stopped have exited, less the
+    /// capacity already reserved for the tasks that preempted them.
     Resources free_after_stops;
 };
 
-/// Returns whether the job's constraints let a task run on the machine. Called only for machines
-/// whose capacity is sufficient.
+/// Returns true if the job's constraints allow a task to run on the machine. Called only for
+/// machines with sufficient capacity.
 using IsEligible = std::function<bool(MachineIndex)>;
-/// Returns whether the machine has the task's container image already. Called only for machines
-/// that are ranked.
+/// Returns true if the machine already has the task's container image. Called only for machines
+/// that have sufficient capacity and are eligible.
 using HasImage = std::function<bool(MachineIndex)>;
-/// Returns the time in seconds until the first of the machine's tasks is expected to end (the
-/// paper's earliest available time plus slack). It ranks machines and decides nothing else.
+/// Returns the number of seconds until the first of the machine's tasks is expected to end, plus
+/// slack. Used only to rank machines.
 using EarliestAvailable = std::function<double(MachineIndex)>;
 
-/// Ranks the machines that can take a task now, the fullest first.
+/// Returns the machines that can run a task now, the fullest first.
 ///
-/// Among equally full machines, one that has the image comes first, then the smaller one.
+/// Among equally full machines, those that have the image come first, then the smaller ones. The
+/// result is empty if the task fits no machine.
 std::vector<MachineIndex> best_fit(const std::vector<FreeCapacity>& machines, const Resources& need,
                                    const IsEligible& is_eligible, const HasImage& has_image);
 
-/// Ranks the machines that can take a task once the tasks that are being stopped are gone, the one
-/// that becomes available earliest first. For tasks that fit no machine now.
+/// Returns the machines that can run a task once the tasks that are being stopped have exited, in
+/// the order in which they are expected to become available. Used for tasks that fit no machine
+/// now.
 std::vector<MachineIndex> future_fit(const std::vector<FreeCapacity>& machines,
                                      const Resources& need, const IsEligible& is_eligible,
                                      const EarliestAvailable& earliest_available_s);
--- a/src/scheduler/capacity_table.cpp
+++ b/src/scheduler/capacity_table.cpp
@@ -5,15 +5,15 @@
 using state::Machine;
 
 namespace {
-// Sums of decimals may fall short of the whole by a rounding error.
+// Tolerance for floating-point rounding errors in sums of resource amounts.
 constexpr double kRoundingError = 1e-6;
 }  // namespace
 
 void CapacityTable::build(double min_cores) {
     for (auto& [host, machine] : state_.machines()) {
-        const double cores =
+        const double cores_after_stops =
             machine.capacity.cores - machine.allocated.cores + machine.releasing.cores;
-        if (cores + kRoundingError < min_cores) {
+        if (cores_after_stops + kRoundingError < min_cores) {
             full_machines_.push_back(&machine);
         } else if (liveness_.is_schedulable(machine)) {
             add(machine);
@@ -51,7 +51,7 @@
     capacities_[index].free_after_stops.subtract(need);
 }
 
-void CapacityTable::add_stopped(MachineIndex index, const Resources& released) {
+void CapacityTable::add_releasing(MachineIndex index, const Resources& released) {
     capacities_[index].free_after_stops.add(released);
 }
 
--- a/src/scheduler/capacity_table.hpp
+++ b/src/scheduler/capacity_table.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The free capacity of all machines during a scheduling pass.
+/// The free capacity of the schedulable machines during a scheduling pass.
 #pragma once
 
 #include <cstddef>
@@ -13,35 +13,39 @@
 
 namespace dunebridge::scheduler {
 
-/// Machines that can be given work and their free capacity, for the length of one scheduling pass.
+/// The machines that can receive tasks and their free capacity, for one scheduling pass.
 ///
-/// Best fit and preemption share it, so that capacity that one of them has assigned is not assigned
-/// again. It points into the cluster state: clear() must be called at the end of the pass.
+/// Best-fit placement and preemption share the table, so that neither assigns capacity that the
+/// other has already assigned. The table holds pointers into the cluster state: clear() must be
+/// called at the end of the pass.
 class CapacityTable {
   public:
     CapacityTable(state::ClusterState& cluster_state, const state::WorkerLiveness& liveness)
         : state_(cluster_state), liveness_(liveness) {}
 
-    /// Lists the schedulable machines that will have at least so many cores free once the tasks
-    /// that are being stopped are gone. Most machines are full most of the time: the others are
-    /// only remembered.
+    /// Adds the schedulable machines that will have at least `min_cores` free cores once the tasks
+    /// that are being stopped have exited.
+    ///
+    /// Most machines are full most of the time, so the others are only noted, for
+    /// add_full_machines(), without the cost of checking whether they are schedulable.
     void build(double min_cores);
-    /// Lists the schedulable ones among the machines that build() left out: preemption can make
-    /// room on them. To be called once a pass at most.
+    /// Adds the schedulable machines that build() left out because they are full; preemption can
+    /// free capacity on them. Must be called at most once per pass.
     void add_full_machines();
-    /// Ends the pass.
+    /// Empties the table at the end of a pass.
     void clear();
 
     std::size_t size() const { return machines_.size(); }
     state::Machine& machine(MachineIndex index) const { return *machines_[index]; }
     const std::vector<FreeCapacity>& capacities() const { return capacities_; }
 
-    /// Takes the capacity for a task that is placed now.
+    /// Allocates capacity to a task that is placed now.
     void allocate(MachineIndex index, const Resources& need);
-    /// Sets capacity aside for a task that is placed once tasks that are being stopped are gone.
+    /// Reserves capacity for a task that will be placed once tasks that are being stopped have
+    /// exited.
     void reserve_after_stops(MachineIndex index, const Resources& need);
-    /// Counts what a task leaves that is being stopped from now on.
-    void add_stopped(MachineIndex index, const Resources& released);
+    /// Adds the resources that a task will release, after a stop of the task was requested.
+    void add_releasing(MachineIndex index, const Resources& released);
 
   private:
     void add(state::Machine& machine);
@@ -49,7 +53,8 @@
     state::ClusterState& state_;
     const state::WorkerLiveness& liveness_;
     std::vector<state::Machine*> machines_;
-    std::vector<FreeCapacity> capacities_;  ///< of the machines at the same index
+    std::vector<FreeCapacity> capacities_;  ///< parallel to `machines_`
+    /// Machines that build() left out.
     std::vector<state::Machine*> full_machines_;
 };
 
--- a/src/scheduler/machine_reservations.cpp
+++ b/src/scheduler/machine_reservations.cpp
@@ -10,32 +10,34 @@
 using state::Machine;
 
 namespace {
-// Others that would fit meanwhile must not wait for 90 s: a machine is reserved for so long at a
-// time, and then open to them for a while.
-constexpr Millis kMaxReservation{65000};
-constexpr Millis kOpenAfterReservation{10000};
-// One machine in so many may be reserved.
+// Other jobs that would fit on a reserved machine must not be kept waiting for 90 s. A reservation
+// therefore ends after kMaxReservationTime, and the machine then stays open to all jobs for
+// kReservationCooldown.
+constexpr Millis kMaxReservationTime{65000};
+constexpr Millis kReservationCooldown{10000};
+// Reservations are limited to about one in this many machines.
 constexpr std::size_t kMachinesPerReservation = 10;
 }  // namespace
 
-void MachineReservations::expire(const std::set<std::uint64_t>& jobs) {
+void MachineReservations::release_stale(const std::set<std::uint64_t>& starving_jobs) {
     for (auto& [host, machine] : state_.machines()) {
         if (machine.reservation.job_sequence == 0) continue;
-        const bool is_over = context_.now() - machine.reservation.since > kMaxReservation;
-        if (is_over || !jobs.contains(machine.reservation.job_sequence))
+        const bool timed_out = context_.now() - machine.reservation.since > kMaxReservationTime;
+        if (timed_out || !starving_jobs.contains(machine.reservation.job_sequence))
             machine.reservation.job_sequence = 0;
     }
 }
 
 bool MachineReservations::can_be_reserved(const Job& job, const Machine& machine) const {
     const auto since = machine.reservation.since;
-    const bool open_to_others =
-        since != Instant{} && context_.now() - since < kMaxReservation + kOpenAfterReservation;
-    return !open_to_others && machine.capacity.holds(job.task_resources()) &&
+    const bool in_cooldown =
+        since != Instant{} && context_.now() - since < kMaxReservationTime + kReservationCooldown;
+    return !in_cooldown && machine.capacity.holds(job.task_resources()) &&
            liveness_.is_schedulable(machine) && is_eligible(job, machine);
 }
 
-// The share of the machine that must still become free, weighed by how soon that begins.
+// A score for ranking machines, not an exact time: the time in seconds until the first task is
+// expected to end, weighted by the share of the machine's cores that is in use.
 double MachineReservations::expected_wait_s(const Machine& machine) const {
     const double used_share = machine.allocated.cores / std::max(machine.capacity.cores, 1.0);
     return availability_.earliest_available_s(machine) * (1 + used_share);
--- a/src/scheduler/machine_reservations.hpp
+++ b/src/scheduler/machine_reservations.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reservations of machines for jobs that have waited long.
+/// Reservations of machines for starving jobs.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,13 @@
 
 namespace dunebridge::scheduler {
 
-/// Keeps machines from other jobs until there is room for a first task of a job that has waited
-/// long.
+/// Reserves machines for starving jobs: jobs that have waited long without a first task.
 ///
-/// Without it a job with large tasks could wait forever under a steady flow of small ones. A
-/// reservation ends after a while and the machine is open to others for some time, so that jobs
-/// which would fit meanwhile do not wait long themselves. The reservation is kept in the machine.
+/// No other job's tasks are placed on a reserved machine until the first task of the starving job
+/// fits. Without reservations, a job with large tasks could wait forever under a steady flow of
+/// small tasks. A reservation is limited in time, and the machine is then open to all jobs for a
+/// while, so that jobs that would fit on it do not wait too long themselves. Reservations are
+/// stored in state::Machine.
 class MachineReservations {
   public:
     MachineReservations(const sansio::Context& context, state::ClusterState& cluster_state,
@@ -28,11 +29,12 @@
           liveness_(liveness),
           availability_(availability) {}
 
-    /// Ends the reservations that have lasted too long, and those for other jobs than the given
-    /// ones (sequence numbers of the jobs that still need one).
-    void expire(const std::set<std::uint64_t>& jobs);
-    /// Reserves the machine that is likely to have room first, unless one is reserved for the job
-    /// already or too many are reserved.
+    /// Releases the reservations that have lasted too long and those of jobs that need none any
+    /// more. `starving_jobs` holds the sequence numbers of the jobs that still need one.
+    void release_stale(const std::set<std::uint64_t>& starving_jobs);
+    /// Reserves for the job the machine that is expected to have room first. Does nothing if a
+    /// machine is already reserved for the job, if no machine is suitable, or if too many machines
+    /// are reserved.
     void reserve_for(const state::Job& job);
 
   private:
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -11,17 +11,19 @@
 using state::JobState;
 
 namespace {
-// A job without an objective is due so long after it may start, and may wait so long.
+// Used as the objective for both the start and the end of jobs whose class has none. It is also
+// the upper limit of configured objectives.
 constexpr double kDefaultObjective_s = 3600;
-// Assumed rate at which a machine fetches an image.
+// Assumed rate at which a machine fetches a container image.
 constexpr double kImageFetchRate_gb_per_s = 0.5;
-// For a preempted task to stop and its machine to report it.
+// Time allowed for a preempted task to stop and for its worker to report that.
 constexpr double kPreemptionDelay_s = 1.5;
-// A job that has waited so long without a first task gets it before all others.
+// A job that has waited longer than this without a first task goes to the head of the queue.
 constexpr Millis kStarvationLimit{90000};
 
-void lower(std::optional<double>& least_s, double within_s) {
-    least_s = std::min(least_s.value_or(within_s), within_s);
+// Lowers the minimum to `within_s` if that is less or if there is no minimum yet.
+void set_to_minimum(std::optional<double>& minimum_s, double within_s) {
+    minimum_s = std::min(minimum_s.value_or(within_s), within_s);
 }
 }  // namespace
 
@@ -35,10 +37,11 @@
     for (const auto& objective : config_.objectives) {
         const auto within_s = objective.within_s;
         if (within_s <= 0) continue;
-        const auto& of_class = objective.job_class;
-        if (objective.kind == "wait") lower(objectives_[of_class].wait_s, within_s);
-        if (objective.kind == "finished") lower(objectives_[of_class].finished_s, within_s);
-        if (objective.kind == "guarantee") lower(guarantee_s_, within_s);
+        const auto& job_class = objective.job_class;
+        if (objective.kind == "wait") set_to_minimum(objectives_[job_class].wait_s, within_s);
+        if (objective.kind == "finished")
+            set_to_minimum(objectives_[job_class].finished_s, within_s);
+        if (objective.kind == "guarantee") set_to_minimum(guaranteed_wait_s_, within_s);
     }
 }
 
@@ -47,7 +50,7 @@
 }
 
 std::vector<PendingJob> PendingQueue::jobs() {
-    auto pending = collect();
+    auto pending = collect_pending_jobs();
     if (pending.empty()) return pending;
     mark_within_guarantee(pending);
     for (auto& entry : pending) entry.rank = rank_of(entry);
@@ -56,8 +59,9 @@
     return pending;
 }
 
-// The jobs with tasks that may be placed now, in no particular order.
-std::vector<PendingJob> PendingQueue::collect() {
+// Returns the jobs with tasks that may be placed now, not yet ranked. Requests a wake-up for those
+// in backoff.
+std::vector<PendingJob> PendingQueue::collect_pending_jobs() {
     std::vector<PendingJob> pending;
     for (auto& [id, job] : state_.jobs()) {
         if (job.state != JobState::active || job.pending_tasks.empty() || job.is_blocked())
@@ -67,10 +71,10 @@
             continue;
         }
         const auto waited = context_.now() - job.dependencies.runnable_since;
-        // A job that fails everywhere must not get ahead of the others by failing.
+        // A faulty job never counts as starving: its failures must not move it ahead of other jobs.
         const bool starving =
             !job.has_started() && !job.failures.faulty && waited > kStarvationLimit;
-        pending.push_back({&job, false, starving, due(job), {}});
+        pending.push_back({&job, false, starving, due_time(job), {}});
     }
     return pending;
 }
@@ -87,7 +91,7 @@
     return {group, -priority, pending.due, job.sequence};
 }
 
-// The unfinished jobs that may start, in the order in which they became runnable.
+// Returns the active jobs without unmet dependencies, in the order in which they became runnable.
 std::vector<const Job*> PendingQueue::unblocked_jobs() const {
     std::vector<const Job*> jobs;
     for (const auto& [id, job] : state_.jobs()) {
@@ -100,6 +104,8 @@
     return jobs;
 }
 
+// Adds up the remaining demand of each team's runnable jobs, the earliest first, and marks the jobs
+// up to which the sum stays within the team's guaranteed quota.
 void PendingQueue::mark_within_guarantee(std::vector<PendingJob>& pending) const {
     const bool any_guarantee =
         std::any_of(config_.teams.begin(), config_.teams.end(),
@@ -130,7 +136,7 @@
     return it == objectives_.end() ? none : it->second;
 }
 
-Instant PendingQueue::due(const Job& job) const {
+Instant PendingQueue::due_time(const Job& job) const {
     const double within_s =
         std::min(kDefaultObjective_s, objectives_of(job).finished_s.value_or(kDefaultObjective_s));
     return std::min(job.dependencies.runnable_since + from_seconds(within_s),
@@ -141,15 +147,18 @@
     const auto& job = *pending.job;
     double within_s =
         std::min(kDefaultObjective_s, objectives_of(job).wait_s.value_or(kDefaultObjective_s));
-    if (pending.within_guarantee) within_s = std::min(within_s, guarantee_s_.value_or(within_s));
-    // A start counts once the image is there, and users' estimates are often wrong by half.
+    if (pending.within_guarantee)
+        within_s = std::min(within_s, guaranteed_wait_s_.value_or(within_s));
+    // A task counts as started only once its image has been fetched. Users' estimates of the run
+    // time are often too low by half, so the expected run time is multiplied by
+    // kRunTimeUncertainty.
     const double fetch_s = job.spec.image_gb / kImageFetchRate_gb_per_s;
     const double run_s = std::max(run_time_estimator_.expected_s(job), job.spec.expected_s) *
                          state::kRunTimeUncertainty;
     const auto wait_s = std::max(0.0, within_s - fetch_s - kPreemptionDelay_s);
     const auto latest = job.dependencies.runnable_since + from_seconds(wait_s);
     if (job.dependencies.latest_end == Instant::max()) return latest;
-    return std::min(latest, due(job) - from_seconds(run_s + fetch_s + kPreemptionDelay_s));
+    return std::min(latest, due_time(job) - from_seconds(run_s + fetch_s + kPreemptionDelay_s));
 }
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-// Beyond the time in which a task saves a checkpoint.
+// Added to the time that a task needs to save a checkpoint.
 constexpr double kCheckpointMargin_s = 1;
 
-// The time that a preempted task is given to save a checkpoint; none if it saves none.
-double checkpoint_grace(const Job& job) {
+// Returns the number of seconds that a preempted task has to save a checkpoint; 0 if its job does
+// not save checkpoints.
+double checkpoint_grace_s(const Job& job) {
     const bool saves_checkpoints = job.spec.checkpoint_every_s > 0;
     return double(saves_checkpoints ? job.spec.checkpoint_s + kCheckpointMargin_s : 0);
 }
@@ -26,28 +27,29 @@
 }
 
 void Preemption::make_room(const Job& job, std::size_t tasks) {
-    const bool shape_decides = !has_zone_constraint(job);
-    if (shape_decides && exhausted_shapes_.contains(shape_of(job))) return;
-    use_stopping_tasks(job, tasks);
+    const bool shape_is_sufficient = !has_zone_constraint(job);
+    if (shape_is_sufficient && exhausted_shapes_.contains(shape_of(job))) return;
+    reserve_stopping_capacity(job, tasks);
     if (tasks == 0) return;
     preempt_tasks(job, tasks);
-    if (tasks > 0 && shape_decides) exhausted_shapes_.insert(shape_of(job));
+    if (tasks > 0 && shape_is_sufficient) exhausted_shapes_.insert(shape_of(job));
 }
 
-// Sets aside what tasks that are being stopped already will leave.
-void Preemption::use_stopping_tasks(const Job& job, std::size_t& tasks) {
-    const auto order = future_fit(
+// Reserves capacity that tasks which are already being stopped will release.
+void Preemption::reserve_stopping_capacity(const Job& job, std::size_t& tasks) {
+    const auto ranking = future_fit(
         capacities_.capacities(), job.task_resources(),
         [&](MachineIndex index) { return is_eligible(job, capacities_.machine(index)); },
         [&](MachineIndex index) {
             return availability_.earliest_available_s(capacities_.machine(index));
         });
-    for (const auto index : order) set_aside(job, index, tasks);
+    for (const auto index : ranking) reserve_for_tasks(job, index, tasks);
 }
 
-// Stops best-effort tasks, each of which makes room for at least one task of the job.
+// Preempts best-effort tasks and reserves the capacity that they release. Each preemption makes
+// room for at least one task of the job.
 void Preemption::preempt_tasks(const Job& job, std::size_t& tasks) {
-    if (!candidates_) find_candidates();
+    if (!candidates_) collect_candidates();
     const auto need = job.task_resources();
     for (const auto& candidate : *candidates_) {
         if (tasks == 0) return;
@@ -58,12 +60,13 @@
         free_after_stop.add(candidate.placement->job->task_resources());
         if (!free_after_stop.holds(need)) continue;
         preempt(candidate, job);
-        set_aside(job, index, tasks);
+        reserve_for_tasks(job, index, tasks);
     }
 }
 
-// Sets aside capacity of the machine for as many of the tasks as fit; `tasks` counts those left.
-void Preemption::set_aside(const Job& job, MachineIndex index, std::size_t& tasks) {
+// Reserves capacity on the machine for as many tasks as fit, and subtracts their number from
+// `tasks`.
+void Preemption::reserve_for_tasks(const Job& job, MachineIndex index, std::size_t& tasks) {
     const auto need = job.task_resources();
     while (tasks > 0 && capacities_.capacities()[index].free_after_stops.holds(need)) {
         capacities_.reserve_after_stops(index, need);
@@ -74,8 +77,8 @@
 void Preemption::preempt(const Candidate& candidate, const Job& for_job) {
     auto& placement = *candidate.placement;
     placement.stop.preempted = true;
-    state_.stop_task(placement, checkpoint_grace(*placement.job));
-    capacities_.add_stopped(candidate.machine, placement.job->task_resources());
+    state_.stop_task(placement, checkpoint_grace_s(*placement.job));
+    capacities_.add_releasing(candidate.machine, placement.job->task_resources());
     context_.log(sansio::LogLevel::info, "event=preempt victim={} for={} host={}",
                  placement.ref().str(), for_job.spec.id.get(), placement.machine->host.get());
 }
@@ -87,9 +90,9 @@
     return !job.tasks[placement.index].preemption_protected;
 }
 
-// Candidates are kept in order of start, the latest first: the first that fits has the least work
-// to lose.
-void Preemption::find_candidates() {
+// Sorts the candidates by the time of their placement, the latest first, so that the first
+// candidate that fits loses the least work.
+void Preemption::collect_candidates() {
     candidates_.emplace();
     capacities_.add_full_machines();
     for (MachineIndex index = 0; index < capacities_.size(); ++index) {
--- a/src/scheduler/preemption.hpp
+++ b/src/scheduler/preemption.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Preemption: stops best-effort tasks so that high-priority tasks get their machines.
+/// Preemption of best-effort tasks in favour of high-priority tasks.
 #pragma once
 
 #include <cstddef>
@@ -16,10 +16,11 @@
 
 namespace dunebridge::scheduler {
 
-/// Makes room for tasks that fit nowhere now.
+/// Frees capacity for high-priority tasks that fit on no machine now.
 ///
-/// What it sets aside is kept for the length of the pass only. In the next pass the tasks that are
-/// being stopped count as capacity that will be free, and it is set aside again.
+/// The capacity that it reserves is tracked in the CapacityTable and so only during one scheduling
+/// pass. In the next pass, the tasks that are being stopped count as capacity that will become
+/// free, and it is reserved again. The objects passed to the constructor must outlive this one.
 class Preemption {
   public:
     Preemption(sansio::Context& context, state::ClusterState& cluster_state,
@@ -31,10 +32,11 @@
           availability_(availability),
           capacities_(capacities) {}
 
-    /// Sets capacity aside for so many tasks of the job: first what tasks that are being stopped
-    /// will leave, then what the first fitting best-effort tasks leave, which are stopped for it.
+    /// Reserves capacity for up to `tasks` tasks of the job: first the capacity that tasks which
+    /// are being stopped will release, then that of best-effort tasks, which it stops for this
+    /// purpose.
     void make_room(const state::Job& job, std::size_t tasks);
-    /// Ends the pass.
+    /// Discards the state of the current scheduling pass.
     void clear();
 
   private:
@@ -45,10 +47,10 @@
     };
 
     bool may_be_preempted(const state::Placement& placement) const;
-    void find_candidates();
-    void use_stopping_tasks(const state::Job& job, std::size_t& tasks);
+    void collect_candidates();
+    void reserve_stopping_capacity(const state::Job& job, std::size_t& tasks);
     void preempt_tasks(const state::Job& job, std::size_t& tasks);
-    void set_aside(const state::Job& job, MachineIndex index, std::size_t& tasks);
+    void reserve_for_tasks(const state::Job& job, MachineIndex index, std::size_t& tasks);
     void preempt(const Candidate& candidate, const state::Job& for_job);
 
     sansio::Context& context_;
@@ -56,9 +58,10 @@
     const PendingQueue& pending_queue_;
     const AvailabilityEstimator& availability_;
     CapacityTable& capacities_;
-    /// Of this pass, the least work to lose first; not looked for until they are needed.
+    /// Candidates of this pass, those that lose the least work first. Empty until they are needed,
+    /// as collecting them visits the placements of all machines.
     std::optional<std::vector<Candidate>> candidates_;
-    /// Shapes for which preemption was found to make no more room in this pass.
+    /// Shapes for which preemption cannot free any more capacity in this pass.
     std::set<TaskShape> exhausted_shapes_;
 };
 
--- a/src/scheduler/scheduler.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -28,7 +28,7 @@
 std::size_t Scheduler::run() {
     const auto pending = pending_queue_.jobs();
     if (pending.empty()) return 0;
-    release_reservations(pending);
+    release_stale_reservations(pending);
     build_capacity_table(pending);
     for (const auto& entry : pending) {
         if (entry.starving) {
@@ -46,14 +46,15 @@
     return pending.size();
 }
 
-void Scheduler::release_reservations(const std::vector<PendingJob>& pending) {
+void Scheduler::release_stale_reservations(const std::vector<PendingJob>& pending) {
     std::set<std::uint64_t> starving;
     for (const auto& entry : pending) {
-        // No machine is kept for a job whose team is at its quota: others could use it meanwhile.
+        // No machine stays reserved for a job whose team is at its quota: other jobs could use the
+        // machine in the meantime.
         if (entry.starving && tasks_within_quota(*entry.job) > 0)
             starving.insert(entry.job->sequence);
     }
-    reservations_.expire(starving);
+    reservations_.release_stale(starving);
 }
 
 void Scheduler::build_capacity_table(const std::vector<PendingJob>& pending) {
@@ -68,20 +69,20 @@
 
 void Scheduler::place_tasks(const PendingJob& pending) {
     Job& job = *pending.job;
-    auto left = tasks_within_quota(job);
-    left -= best_fit_.place(job, left);
-    // A job that fails everywhere preempts no other's task.
-    if (!pending_queue_.is_high_priority(job) || left == 0 || job.failures.faulty) return;
+    auto remaining = tasks_within_quota(job);
+    remaining -= best_fit_.place(job, remaining);
+    // A faulty job, whose tasks fail on every machine, must not preempt tasks of other jobs.
+    if (!pending_queue_.is_high_priority(job) || remaining == 0 || job.failures.faulty) return;
     const auto latest_start = pending_queue_.latest_start(pending);
     if (context_.now() < latest_start) {
         context_.request_wake(latest_start);
         return;
     }
-    preemption_.make_room(job, left);
+    preemption_.make_room(job, remaining);
 }
 
-// Prevents starvation: under a steady flow of jobs that go first, a job still gets its first task.
-// Where none fits, a machine is reserved until enough of it is free.
+// Prevents starvation: a job gets its first task placed even under a steady flow of jobs that rank
+// before it. If the task fits nowhere, a machine is reserved until it has enough free capacity.
 void Scheduler::place_first_task(const PendingJob& pending) {
     Job& job = *pending.job;
     if (tasks_within_quota(job) == 0) return;
--- a/src/scheduler/scheduler.hpp
+++ b/src/scheduler/scheduler.hpp
@@ -1,9 +1,12 @@
 /// \file
-/// The scheduler: places pending tasks on machines, and preempts others where that is needed.
+/// The scheduler: places pending tasks on machines and preempts running tasks where necessary.
 ///
-/// It applies the paper's rule (MBFCBS) to all machines, as adapted in docs/design.md: best fit to
-/// the fullest machine; a high-priority task that fits nowhere stops the first fitting best-effort
-/// task; best effort never preempts; pending tasks are held, not bound to a machine.
+/// It applies the MBFCBS algorithm to all machines, as adapted in docs/design.md:
+///  - A task is placed by best fit, on the fullest machine that has room for it.
+///  - A high-priority task that fits nowhere preempts the first best-effort task whose resources
+///    make room for it.
+///  - Best-effort tasks never preempt.
+///  - Pending tasks stay in a queue and are not assigned to a machine in advance.
 #pragma once
 
 #include <cstddef>
@@ -23,25 +26,24 @@
 
 namespace dunebridge::scheduler {
 
-/// Decides which pending task gets which machine. Runs on the leader only, once its cluster state
-/// is loaded.
+/// Assigns pending tasks to machines. Runs only on the leader, once its cluster state is loaded.
 ///
-/// It changes the cluster state alone. A placement is recorded in the key-value store before a
-/// worker hears of it, which is not the scheduler's business. The objects given to the constructor
-/// must outlive it.
+/// The scheduler changes only the cluster state in memory. A placement is written to the key-value
+/// store before the start command is sent to the worker; other components do both. The objects
+/// passed to the constructor must outlive the scheduler.
 class Scheduler {
   public:
     Scheduler(sansio::Context& context, state::ClusterState& cluster_state,
               const state::WorkerLiveness& liveness,
               const state::RunTimeEstimator& run_time_estimator, const config::Config& config);
 
-    /// One scheduling pass: places pending tasks, and stops tasks that must make room. Returns how
-    /// many jobs had tasks that could be placed at its beginning.
+    /// Runs one scheduling pass: places pending tasks and preempts tasks where necessary. Returns
+    /// the number of jobs that had tasks to place at the beginning of the pass.
     std::size_t run();
 
   private:
     void build_capacity_table(const std::vector<PendingJob>& pending);
-    void release_reservations(const std::vector<PendingJob>& pending);
+    void release_stale_reservations(const std::vector<PendingJob>& pending);
     std::size_t tasks_within_quota(const state::Job& job);
     void place_tasks(const PendingJob& pending);
     void place_first_task(const PendingJob& pending);
--- a/src/scheduler/task_constraints.cpp
+++ b/src/scheduler/task_constraints.cpp
@@ -16,19 +16,19 @@
     return std::find(types->begin(), types->end(), machine.machine_type) != types->end();
 }
 
-// The tasks of the job must be in one zone.
-bool keeps_together(const Job& job, const Machine& machine) {
+// `together`: all tasks of the job must run in one zone.
+bool satisfies_zone_affinity(const Job& job, const Machine& machine) {
     return job.zones.empty() || job.zones.contains(machine.zone);
 }
 
-// At most half of the job's tasks may be in one zone.
-bool keeps_apart(const Job& job, const Machine& machine) {
-    std::uint32_t placed_here = 0;
+// `apart`: at most half of the job's tasks, rounded up, may run in one zone.
+bool satisfies_zone_spread(const Job& job, const Machine& machine) {
+    std::uint32_t placed_in_zone = 0;
     for (const auto& [zone, count] : job.zones) {
-        // Tasks whose zone is not known may be in this one.
-        if (zone == machine.zone || zone.empty()) placed_here += count;
+        // A task whose zone is unknown may be in this zone.
+        if (zone == machine.zone || zone.empty()) placed_in_zone += count;
     }
-    return placed_here < (job.spec.task_count + 1) / 2;
+    return placed_in_zone < (job.spec.task_count + 1) / 2;
 }
 
 }  // namespace
@@ -48,8 +48,8 @@
         return false;
     if (spec.zone && *spec.zone != machine.zone) return false;
     if (!has_allowed_type(job, machine)) return false;
-    if (spec.together && !keeps_together(job, machine)) return false;
-    return !spec.apart || keeps_apart(job, machine);
+    if (spec.together && !satisfies_zone_affinity(job, machine)) return false;
+    return !spec.apart || satisfies_zone_spread(job, machine);
 }
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/task_constraints.hpp
+++ b/src/scheduler/task_constraints.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// What a job's tasks require of a machine, apart from free capacity at the moment.
+/// The requirements of a job's tasks on a machine, other than its current free capacity.
 #pragma once
 
 #include <compare>
@@ -12,8 +12,10 @@
 
 namespace dunebridge::scheduler {
 
-/// What a task requires of its machine. Jobs whose tasks have the same shape fit the same machines,
-/// so that a shape that fits nowhere is looked for once a pass.
+/// The requirements of a task that depend only on the job's specification.
+///
+/// Tasks of the same shape fit on the same machines unless zone constraints apply (see
+/// has_zone_constraint()). A shape that fits nowhere is therefore tried only once per pass.
 struct TaskShape {
     double cores = 0;
     double accelerators = 0;
@@ -25,15 +27,16 @@
     auto operator<=>(const TaskShape&) const = default;
 };
 
-/// The shape of the job's tasks.
+/// Returns the shape of the job's tasks.
 TaskShape shape_of(const state::Job& job);
 
-/// Returns true if the zones of the job's other tasks decide where a task of it may run: the shape
-/// alone does not say whether it fits.
+/// Returns true if the machines on which a task may run also depend on the zones of the job's other
+/// tasks. The shape alone then does not tell whether a task fits.
 bool has_zone_constraint(const state::Job& job);
 
 /// Returns true if the job's constraints (spot, zone, machine types, tasks together or apart) and
-/// the machine's reservation let a task of the job run on the machine. Says nothing of capacity.
+/// the machine's reservation allow a task of the job to run on the machine. Does not check
+/// capacity.
 bool is_eligible(const state::Job& job, const state::Machine& machine);
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/team_quota.cpp
+++ b/src/scheduler/team_quota.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-// Sums of decimals may fall short of the whole by a rounding error.
+// Tolerance for floating-point rounding errors in sums of resource amounts.
 constexpr double kRoundingError = 1e-9;
 
-// How many of `tasks` a limit on one resource leaves room for; a limit of 0 is none.
-std::size_t limit_tasks(std::size_t tasks, double limit, double used, double per_task) {
+// Returns how many of `tasks` fit within the limit on one resource. A limit of 0 means no limit.
+std::size_t tasks_within_limit(std::size_t tasks, double limit, double used, double per_task) {
     if (limit <= 0 || per_task <= 0) return tasks;
-    const double most = std::max(0.0, (limit - used) / per_task + kRoundingError);
-    return std::min(tasks, static_cast<std::size_t>(most));
+    const double max_tasks = std::max(0.0, (limit - used) / per_task + kRoundingError);
+    return std::min(tasks, static_cast<std::size_t>(max_tasks));
 }
 
 }  // namespace
@@ -22,9 +22,9 @@
                                const state::TeamUsage& usage) {
     const auto* team = config.find_team(job.spec.team);
     if (!team) return 0;
-    const auto by_cpus =
-        limit_tasks(job.placeable_tasks(), team->cpus_max, usage.cpus, job.spec.cores);
-    return limit_tasks(by_cpus, team->gpus_max, usage.gpus, job.spec.accelerators);
+    const auto within_cpu_quota =
+        tasks_within_limit(job.placeable_tasks(), team->cpus_max, usage.cpus, job.spec.cores);
+    return tasks_within_limit(within_cpu_quota, team->gpus_max, usage.gpus, job.spec.accelerators);
 }
 
 }  // namespace dunebridge::scheduler
--- a/src/scheduler/team_quota.hpp
+++ b/src/scheduler/team_quota.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// How many tasks of a job its team's quota admits.
+/// The number of a job's tasks that its team's quota allows.
 #pragma once
 
 #include <cstddef>
@@ -10,8 +10,8 @@
 
 namespace dunebridge::scheduler {
 
-/// The number of the job's pending tasks that may be placed now under its team's quota, given what
-/// the team uses. None for a team that the settings do not name.
+/// Returns the number of the job's pending tasks that may be placed now under its team's quota,
+/// given the team's current usage. Returns 0 if the settings do not name the team.
 std::size_t tasks_within_quota(const state::Job& job, const config::Config& config,
                                const state::TeamUsage& usage);
 
