--- a/src/workers/command_builder.cpp
+++ b/src/workers/command_builder.cpp
@@ -18,24 +18,26 @@
 
 namespace {
 
+// Once a message holds this many commands, no further placements are considered for it.
 constexpr std::size_t kMaxCommands = 250;
 
 void append_stop_command(const Placement& placement, std::vector<TaskCommand>& commands) {
     const auto& job = *placement.job;
-    const bool still_wanted = job.state == JobState::active && !job.tasks[placement.index].done;
-    const double grace_s = still_wanted ? placement.stop.grace.count() : 0;
-    // It does what it was told already.
+    const bool will_run_again = job.state == JobState::active && !job.tasks[placement.index].done;
+    const double grace_s = will_run_again ? placement.stop.grace.count() : 0;
+    // The task is already saving its checkpoint in response to an earlier stop command.
     if (placement.observed.phase == wire::TaskPhase::saving && grace_s != 0) return;
     commands.push_back({CommandKind::stop, placement.ref(), placement.attempt, grace_s});
 }
 
-bool is_to_be_started(const Machine& machine, const Placement& placement) {
+bool should_start(const Machine& machine, const Placement& placement) {
     const bool was_sent =
         placement.observed.seen || placement.start.delivery == StartDelivery::awaiting_confirmation;
     return !was_sent && !state::is_unresponsive(machine);
 }
 
-// Whether a late repeat of a direct command could start the task's earlier attempt once more.
+// Returns true if a late duplicate of a direct command could start an earlier attempt of the task
+// again.
 bool replaces_exited_attempt(const Machine& machine, const Placement& placement) {
     const auto& exited = machine.worker.exited;
     return std::any_of(exited.begin(), exited.end(), [&](const state::ExitedTask& earlier) {
@@ -55,7 +57,7 @@
     start.agent_epoch = std::max(start.agent_epoch, machine.worker.last_applied.agent_epoch);
 }
 
-bool only_clears(const std::vector<TaskCommand>& commands) {
+bool has_only_clear_commands(const std::vector<TaskCommand>& commands) {
     return std::all_of(commands.begin(), commands.end(), [](const TaskCommand& command) {
         return command.kind == CommandKind::clear;
     });
@@ -63,15 +65,17 @@
 
 }  // namespace
 
-// An attempt is cleared only when nothing still under way could start it once more. Returns whether
-// the token must be raised: direct commands that were carried out may be repeated late, and would
-// start again what is cleared. A higher token, in the very message that clears it, refuses them.
+// Appends commands that clear exited attempts whose outcome is committed. An attempt is cleared
+// only if no command still in transit could start it again. Returns true if the fencing token must
+// be raised: the network may deliver late duplicates of executed direct commands, which would start
+// a cleared attempt again. With a higher token in the message that clears the attempt, the worker
+// refuses them.
 bool CommandBuilder::append_clear_commands(const Machine& machine,
                                            std::vector<TaskCommand>& commands) const {
     const auto& worker = machine.worker;
-    const bool shows_token =
+    const bool token_acknowledged =
         worker.acknowledged_token == state::make_token(election_.term(), worker.fence_counter);
-    if (!shows_token || worker.command_in_flight) return false;
+    if (!token_acknowledged || worker.command_in_flight) return false;
     bool raise_fence = false;
     for (const auto& exited : worker.exited) {
         if (!state_.committed(exited.record, exited.outcome)) continue;
@@ -94,7 +98,7 @@
         if (placement.start.delivery == StartDelivery::in_direct_command) continue;
         if (must_stop(placement)) {
             append_stop_command(placement, commands);
-        } else if (is_to_be_started(machine, placement)) {
+        } else if (should_start(machine, placement)) {
             commands.push_back({CommandKind::start, placement.ref(), placement.attempt, 0});
             raise_fence = raise_fence || replaces_exited_attempt(machine, placement);
             mark_start_sent(machine, placement, exchange);
@@ -102,8 +106,8 @@
         }
     }
     const bool direct = exchange == ExchangeKind::direct_command;
-    // Clearing alone can wait for the worker's next heartbeat.
-    if (direct && only_clears(commands)) return {};
+    // Clear commands are not urgent: they can wait for the worker's next heartbeat.
+    if (direct && has_only_clear_commands(commands)) return {};
     if (raise_fence) ++machine.worker.fence_counter;
     if (direct) {
         const auto fenced_from = machine.worker.fence_counter + 1;
--- a/src/workers/command_builder.hpp
+++ b/src/workers/command_builder.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Decides which commands a worker gets.
+/// Selection of the commands that a worker receives.
 #pragma once
 
 #include <vector>
@@ -12,20 +12,21 @@
 
 namespace dunebridge::workers {
 
-/// Builds the commands for a worker from its machine's placements and from the exited and
-/// unrecorded tasks that it has listed.
+/// Builds the commands for a worker from the placements on its machine and from the exited and
+/// unrecorded tasks that the worker has listed.
 ///
-/// A direct command without an answer may be executed minutes later, and one that was executed may
-/// be repeated late by the network. A higher fencing token, once the worker has seen it, shuts both
-/// out. The token is raised where a repeat could start an attempt once more that the worker has
-/// forgotten.
+/// A direct command that was not answered may be executed minutes later, and the network may
+/// deliver a late duplicate of one that was executed. Once the worker has seen a higher fencing
+/// token, it refuses both. The token is therefore raised where a duplicate could restart an attempt
+/// that the worker has forgotten.
 class CommandBuilder {
   public:
     CommandBuilder(const coordination::Election& election, const state::ClusterState& cluster_state)
         : election_(election), state_(cluster_state) {}
 
-    /// The commands for the worker now. Tasks that they start count as sent; the machine's fence
-    /// counter may be raised, so that the token must be made after the call.
+    /// Returns the commands to send to the worker now; empty if there are none. Marks the start
+    /// commands among them as sent. May raise the machine's fence counter, so the caller must
+    /// create the fencing token after the call.
     std::vector<wire::TaskCommand> build(state::Machine& machine, ExchangeKind exchange) const;
 
   private:
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -12,15 +12,17 @@
 
 namespace {
 
-// From an answered command to the next one to the machine, and from one without an answer.
-constexpr Millis kCommandSpacing{30};
-constexpr Millis kBackoffAfterLoss{2000};
+// Delay between a direct command whose reply held a heartbeat and the next one to the same machine.
+constexpr Millis kMinCommandInterval{30};
+// The same delay for a direct command without such a reply.
+constexpr Millis kBackoffWithoutReply{2000};
 
-// How the task's start stands once the direct command that carried it has ended.
+// Returns the delivery state of a start command once the direct command that carried it has ended.
 StartDelivery delivery_after(const Placement& placement, const CommandResult& result) {
-    if (!result.unexecuted || placement.observed.seen) return StartDelivery::awaiting_confirmation;
-    // An unexecuted command changes nothing: the start may have gone in the reply to a heartbeat as
-    // well, and be on the worker already.
+    if (!result.not_executed || placement.observed.seen)
+        return StartDelivery::awaiting_confirmation;
+    // The direct command had no effect, but the reply to a heartbeat may have carried the start
+    // command as well, so that the task may be on the worker already.
     return placement.start.in_heartbeat_reply ? StartDelivery::in_heartbeat_reply
                                               : StartDelivery::not_sent;
 }
@@ -46,23 +48,23 @@
 void CommandDispatcher::tick() {
     for (auto* machine : state_.take_machines_needing_commands()) {
         machine->worker.needs_commands = false;
-        // A task that has not been sent needs no command to stop it.
+        // A task whose start command was never sent needs no stop command.
         remove_placements_if(state_, *machine, [](const Placement& placement) {
-            return is_never_sent(placement) && must_stop(placement);
+            return was_never_sent(placement) && must_stop(placement);
         });
         dispatch(*machine);
     }
 }
 
-// Sends the machine's commands, or sees to it that they are sent as soon as they may be.
+// Sends the machine's commands now, or arranges for them to be sent as soon as possible.
 void CommandDispatcher::dispatch(Machine& machine) {
     const auto& worker = machine.worker;
     if (!worker.heartbeat_received || machine.instance.deleting) return;
     if (state::is_unresponsive(machine)) return;
-    // The answer to the command in flight requests commands again.
+    // handle_result() requests commands again when the command in flight has ended.
     if (worker.command_in_flight) return;
     if (in_flight_ >= max_in_flight_) {
-        // Goes on when one of the commands in flight has ended.
+        // The machine is retried once one of the commands in flight has ended.
         state_.request_commands(machine);
     } else if (context_.now() >= worker.next_command_at) {
         send(machine);
@@ -78,12 +80,12 @@
     machine.worker.command_in_flight = true;
     ++in_flight_;
     const auto token = state::make_token(election_.term(), machine.worker.fence_counter);
-    const auto handle = [this, host = machine.host,
-                         term = election_.term()](const CommandResult& result) {
+    const auto on_result = [this, host = machine.host,
+                            term = election_.term()](const CommandResult& result) {
         --in_flight_;
         if (election_.is_leader() && election_.term() == term) handle_result(host, result);
     };
-    client_.send(machine, token, commands, handle);
+    client_.send(machine, token, commands, on_result);
 }
 
 void CommandDispatcher::handle_result(const MachineName& host, const CommandResult& result) {
@@ -98,12 +100,13 @@
     state_.request_commands(*machine);
     if (result.heartbeat) {
         heartbeat_processor_.apply(*machine, *result.heartbeat, ExchangeKind::direct_command);
-        worker.next_command_at = context_.now() + kCommandSpacing;
+        worker.next_command_at = context_.now() + kMinCommandInterval;
         return;
     }
-    // The command may still be executed at any later time: a higher token shuts it out.
-    if (!result.unexecuted) ++worker.fence_counter;
-    worker.next_command_at = context_.now() + kBackoffAfterLoss;
+    // The command may still be executed at any later time. Once the worker has seen a higher token,
+    // it refuses the command.
+    if (!result.not_executed) ++worker.fence_counter;
+    worker.next_command_at = context_.now() + kBackoffWithoutReply;
 }
 
 }  // namespace dunebridge::workers
--- a/src/workers/command_dispatcher.hpp
+++ b/src/workers/command_dispatcher.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sends direct commands to workers where the reply to the next heartbeat would be too late.
+/// Delivery of commands to workers, in heartbeat replies and in direct commands.
 #pragma once
 
 #include <cstddef>
@@ -17,17 +17,21 @@
 
 namespace dunebridge::workers {
 
-/// Delivers commands: in replies to heartbeats, and in direct commands of which one at a time is in
-/// flight to each machine, and as many in all as the sockets allow.
+/// Delivers commands to workers: in replies to heartbeats, and in direct commands where the reply
+/// to the next heartbeat would be too late.
+///
+/// At most one direct command is in flight to each machine, and in total as many as the socket
+/// budget allows. The objects passed to the constructor must outlive the dispatcher.
 class CommandDispatcher {
   public:
     CommandDispatcher(sansio::Context& context, coordination::Election& election,
                       state::ClusterState& cluster_state, const config::Config& config,
                       HeartbeatProcessor& heartbeat_processor);
 
-    /// Sends direct commands to the machines for which commands have been requested.
+    /// Sends direct commands to the machines for which they have been requested.
     void tick();
-    /// The commands for the reply to the worker's heartbeat. Tasks that they start count as sent.
+    /// Returns the commands for the reply to the worker's heartbeat. Marks the start commands among
+    /// them as sent.
     std::vector<wire::TaskCommand> commands_for_reply(state::Machine& machine) const;
 
   private:
--- a/src/workers/exchange_kind.hpp
+++ b/src/workers/exchange_kind.hpp
@@ -6,11 +6,13 @@
 
 namespace dunebridge::workers {
 
-/// Who began an exchange. It decides what a heartbeat proves: only one that the worker sends of its
-/// own accord shows that the reply to its previous one has been read or lost.
+/// The side that initiated an exchange.
+///
+/// The kind determines what a heartbeat proves: only a heartbeat that the worker sends as a request
+/// shows that the reply to its previous heartbeat has been read or lost.
 enum class ExchangeKind : std::uint8_t {
-    heartbeat,      ///< the worker sends its heartbeat, and gets commands in the reply
-    direct_command  ///< the leader sends commands, and gets a heartbeat in the reply
+    heartbeat,      ///< the worker sends a heartbeat and receives commands in the reply
+    direct_command  ///< the leader sends commands and receives a heartbeat in the reply
 };
 
 }  // namespace dunebridge::workers
--- a/src/workers/failure_attribution.cpp
+++ b/src/workers/failure_attribution.cpp
@@ -9,29 +9,33 @@
 using state::Machine;
 
 namespace {
-// Between a job's failures and its next start.
+// Limits of the time between a job's failure and its next start, without the jitter.
 constexpr Millis kMinBackoff{1000};
 constexpr Millis kMaxBackoff{30000};
-constexpr int kJitterDivisor =
-    4;  // of the pause, at most, so that faulty jobs do not return together
-// What a job that failed on a machine weighs against the machine: a job that has succeeded
-// elsewhere weighs more, and each of its first failures.
-constexpr std::uint32_t kUnprovenJobWeight = 1;
-constexpr std::uint32_t kProvenJobWeight = 2;
-constexpr std::uint32_t kMaxCountedFailures = 2;
-constexpr std::uint32_t kEvidenceToCordon = 3;
-// A job is at fault after failing on so many machines that nothing else tells against, or, where
-// nothing has ever succeeded, on so many of any kind.
-constexpr std::size_t kUndoubtedMachinesToBlameJob = 3;
-constexpr std::size_t kAnyMachinesToBlameJob = 9;
+// The jitter is at most the backoff divided by this, so that faulty jobs do not all restart
+// together.
+constexpr int kJitterDivisor = 4;
+// Contribution of a job that failed on a machine to the machine's failure score. A job of which
+// some task has succeeded counts more: each of its failures adds kWeightWithSuccess, up to
+// kMaxCountedFailuresPerJob failures. A job without any success counts once.
+constexpr std::uint32_t kWeightWithoutSuccess = 1;
+constexpr std::uint32_t kWeightWithSuccess = 2;
+constexpr std::uint32_t kMaxCountedFailuresPerJob = 2;
+// Failure score from which on a machine is cordoned.
+constexpr std::uint32_t kCordonThreshold = 3;
+// A job is faulty if it has failed on kUnsuspectedMachinesForFaultyJob machines that are not
+// cordoned and on which no other job has failed. A job of which no task has ever succeeded is also
+// faulty if it has failed on kMachinesForFaultyJob machines of any kind.
+constexpr std::size_t kUnsuspectedMachinesForFaultyJob = 3;
+constexpr std::size_t kMachinesForFaultyJob = 9;
 }  // namespace
 
 void FailureAttribution::record_success(Job& job, Machine& machine) {
     machine.worker.failures.clear();
-    clear_evidence_against_job(job);
+    reset_job_failures(job);
 }
 
-void FailureAttribution::clear_evidence_against_job(Job& job) {
+void FailureAttribution::reset_job_failures(Job& job) {
     if (job.failures.faulty) {
         context_.log(LogLevel::info, "event=job_recovered id={}", job.spec.id.get());
         job.backoff.until = context_.now();
@@ -45,14 +49,14 @@
     if (job.failures.faulty) return;
     job.failures.machines.insert(machine.host);
     ++machine.worker.failures[job.spec.id];
-    if (failed_everywhere(job)) {
+    if (is_job_at_fault(job)) {
         mark_job_faulty(job);
-    } else if (!machine.worker.cordoned && evidence_against(machine) >= kEvidenceToCordon) {
+    } else if (!machine.worker.cordoned && failure_score(machine) >= kCordonThreshold) {
         cordon(machine);
     }
 }
 
-// Failures that come while the job pauses are of tasks started before: they do not count again.
+// Failures during a backoff come from tasks that were started before it. They do not extend it.
 void FailureAttribution::start_backoff(Job& job) {
     if (context_.now() < job.backoff.until) return;
     job.backoff.length = std::clamp(job.backoff.length * 2, kMinBackoff, kMaxBackoff);
@@ -60,27 +64,28 @@
         context_.now() + job.backoff.length + context_.jitter(job.backoff.length / kJitterDivisor);
 }
 
-std::uint32_t FailureAttribution::evidence_against(const Machine& machine) const {
-    std::uint32_t evidence = 0;
+// Sums up the failures on the machine since a task of any job last succeeded there.
+std::uint32_t FailureAttribution::failure_score(const Machine& machine) const {
+    std::uint32_t score = 0;
     for (const auto& [id, failures] : machine.worker.failures) {
         const auto* job = state_.find_job(id);
-        const bool proven = job && job->done > 0;
-        evidence += proven ? kProvenJobWeight * std::min(failures, kMaxCountedFailures)
-                           : kUnprovenJobWeight;
+        const bool has_success = job && job->done > 0;
+        score += has_success ? kWeightWithSuccess * std::min(failures, kMaxCountedFailuresPerJob)
+                             : kWeightWithoutSuccess;
     }
-    return evidence;
+    return score;
 }
 
-bool FailureAttribution::failed_everywhere(const Job& job) const {
+bool FailureAttribution::is_job_at_fault(const Job& job) const {
     const auto& machines = job.failures.machines;
-    const auto undoubted = std::count_if(machines.begin(), machines.end(), [&](const auto& host) {
+    const auto unsuspected = std::count_if(machines.begin(), machines.end(), [&](const auto& host) {
         const auto* machine = state_.find_machine(host);
         if (!machine || machine->worker.cordoned) return false;
         const auto& failures = machine->worker.failures;
         return failures.empty() || (failures.size() == 1 && failures.contains(job.spec.id));
     });
-    return static_cast<std::size_t>(undoubted) >= kUndoubtedMachinesToBlameJob ||
-           (job.done == 0 && machines.size() >= kAnyMachinesToBlameJob);
+    return static_cast<std::size_t>(unsuspected) >= kUnsuspectedMachinesForFaultyJob ||
+           (job.done == 0 && machines.size() >= kMachinesForFaultyJob);
 }
 
 void FailureAttribution::mark_job_faulty(Job& job) {
@@ -89,7 +94,7 @@
     job.failures.faulty = true;
     job.failures.machines.clear();
     for (auto& [host, machine] : state_.machines()) {
-        if (machine.worker.failures.erase(job.spec.id) > 0) uncordon_if_cleared(machine);
+        if (machine.worker.failures.erase(job.spec.id) > 0) uncordon_if_below_threshold(machine);
     }
 }
 
@@ -101,8 +106,8 @@
     }
 }
 
-void FailureAttribution::uncordon_if_cleared(Machine& machine) {
-    if (!machine.worker.cordoned || evidence_against(machine) >= kEvidenceToCordon) return;
+void FailureAttribution::uncordon_if_below_threshold(Machine& machine) {
+    if (!machine.worker.cordoned || failure_score(machine) >= kCordonThreshold) return;
     machine.worker.cordoned = false;
     context_.log(LogLevel::info, "event=machine_cleared host={}", machine.host.get());
 }
--- a/src/workers/heartbeat_processor.cpp
+++ b/src/workers/heartbeat_processor.cpp
@@ -29,10 +29,10 @@
         election_.observe_newer_term(state::term_of(heartbeat.token));
         return false;
     }
-    // A heartbeat that was held up on its way is older than one that has been applied.
+    // The heartbeat was delayed in transit: a newer one has already been applied.
     if (worker.heartbeat_received && heartbeat.order <= worker.last_applied) return true;
-    leases_.observe(machine, heartbeat);
-    update_worker(machine, heartbeat);
+    leases_.observe_heartbeat(machine, heartbeat);
+    update_worker_status(machine, heartbeat);
     if (heartbeat.eviction_s) {
         apply_preemption_notice(machine, from_seconds(*heartbeat.eviction_s));
     }
@@ -41,7 +41,7 @@
     return true;
 }
 
-void HeartbeatProcessor::update_worker(Machine& machine, const WorkerHeartbeat& heartbeat) {
+void HeartbeatProcessor::update_worker_status(Machine& machine, const WorkerHeartbeat& heartbeat) {
     auto& worker = machine.worker;
     if (!worker.heartbeat_received) {
         context_.log(LogLevel::info, "event=machine_up host={} type={} after_s={:.1f}",
--- a/src/workers/heartbeat_processor.hpp
+++ b/src/workers/heartbeat_processor.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Applies workers' heartbeats to the cluster state.
+/// Processing of workers' heartbeats.
 #pragma once
 
 #include "coordination/election.hpp"
@@ -14,21 +14,26 @@
 
 namespace dunebridge::workers {
 
-/// Takes in a heartbeat, whichever way it came: the worker's lease and status, a preemption notice,
-/// the tasks that it lists, and the placements that it lacks.
+/// Applies workers' heartbeats to the cluster state, whether they arrive as requests or in replies
+/// to direct commands.
+///
+/// A heartbeat updates the worker's lease and status, may announce that the cloud will preempt the
+/// machine, and shows which tasks are on the worker and which recorded placements are not. The
+/// objects passed to the constructor must outlive the processor.
 class HeartbeatProcessor {
   public:
     HeartbeatProcessor(sansio::Context& context, coordination::Election& election,
                        state::ClusterState& cluster_state, const WorkerLeases& leases,
                        OnTaskCompleted on_task_completed);
 
-    /// Applies the heartbeat, unless it is older than one that has been applied. Returns false if
-    /// it shows that this leader has been superseded, which gives up the leadership.
+    /// Applies the heartbeat, unless one that is as new or newer has already been applied. Returns
+    /// false, without applying it, if its token is newer than this leader's; the election is then
+    /// told of the newer term.
     bool apply(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                ExchangeKind exchange);
 
   private:
-    void update_worker(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
+    void update_worker_status(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
     void apply_preemption_notice(state::Machine& machine, Millis until_preemption);
 
     sansio::Context& context_;
--- a/src/workers/placement_conditions.hpp
+++ b/src/workers/placement_conditions.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Conditions on placements, and the removal of those that meet one.
+/// Predicates on placements, and the removal of the placements that satisfy a predicate.
 #pragma once
 
 #include <vector>
@@ -11,22 +11,22 @@
 
 namespace dunebridge::workers {
 
-/// Returns true if the placement's task must not run any more: it is being stopped, it is done, or
-/// its job is over.
+/// Returns true if the placement's task must no longer run: its stop was requested, it is done, or
+/// its job is terminal.
 inline bool must_stop(const state::Placement& placement) {
     const auto& job = *placement.job;
     return placement.stop.requested || job.state == state::JobState::terminal ||
            job.tasks[placement.index].done;
 }
 
-/// Returns true if the placement is on record, but its task certainly is not on the worker: no
-/// command that starts it has left this leader, and the worker has not shown it.
-inline bool is_never_sent(const state::Placement& placement) {
+/// Returns true if the placement is committed but its task is certainly not on the worker: no start
+/// command that may have been executed was sent, and no heartbeat has listed the task.
+inline bool was_never_sent(const state::Placement& placement) {
     return placement.is_committed() && placement.start.delivery == state::StartDelivery::not_sent &&
            !placement.observed.seen;
 }
 
-/// Removes the machine's placements that meet the condition. The caller must have proof that their
+/// Removes the machine's placements that satisfy `condition`. The caller must have proof that their
 /// tasks are not on the worker.
 template <class Condition>
 void remove_placements_if(state::ClusterState& cluster_state, state::Machine& machine,
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -40,9 +40,9 @@
     std::vector<PlacementKey> gone;
     for (auto& [key, placement] : machine.placements) {
         if (!placement.is_committed()) continue;
-        // The worker has read the reply to its previous heartbeat, or never will.
+        // The worker has read the reply to its previous heartbeat or never will.
         if (is_heartbeat) placement.start.in_heartbeat_reply = false;
-        switch (assess(machine, placement, heartbeat, exchange)) {
+        switch (classify(machine, placement, heartbeat, exchange)) {
             case Finding::unknown:
                 break;
             case Finding::present:
@@ -58,43 +58,45 @@
                 break;
         }
     }
-    // With a new token the worker shows whether the next reply arrives.
+    // Raises the token, so that the worker's next heartbeat shows whether it received the reply.
     if (reply_lost) ++machine.worker.fence_counter;
     for (const auto& key : gone) state_.remove(machine, key);
 }
 
-Reconciler::Finding Reconciler::assess(const Machine& machine, const Placement& placement,
-                                       const WorkerHeartbeat& heartbeat,
-                                       ExchangeKind exchange) const {
+Reconciler::Finding Reconciler::classify(const Machine& machine, const Placement& placement,
+                                         const WorkerHeartbeat& heartbeat,
+                                         ExchangeKind exchange) const {
     if (was_forgotten(placement, heartbeat)) return Finding::gone;
     const auto delivery = placement.start.delivery;
     if (delivery == StartDelivery::not_sent || delivery == StartDelivery::in_direct_command)
         return Finding::unknown;
     const bool in_reply = delivery == StartDelivery::in_heartbeat_reply;
-    // A worker reads the reply to a heartbeat before it makes the next heartbeat, or never:
-    // whatever token that one shows, a start that it lacks was lost.
+    // A worker reads the reply to a heartbeat before it builds the next heartbeat, or never. If the
+    // next heartbeat does not list the task, the start command was lost, whatever token it carries.
     const bool start_was_in_previous_reply =
         in_reply && exchange == ExchangeKind::heartbeat && !placement.observed.seen;
     const bool shows_token =
         heartbeat.token == make_token(election_.term(), machine.worker.fence_counter);
     if (!shows_token && !start_was_in_previous_reply) return Finding::unknown;
     if (lists_placement(heartbeat, placement)) return Finding::present;
-    // The reply may still be on its way.
+    // The reply with the start command may still be in transit.
     if (in_reply && exchange == ExchangeKind::direct_command) return Finding::unknown;
-    // What an earlier leader has placed is placed anew rather than started: it may have given the
-    // capacity and the quota to others before its end, and had no time to record that.
-    const bool not_to_start =
+    // A task that an earlier leader placed is placed again rather than started: that leader may
+    // have assigned the capacity and the quota to other tasks without having recorded that before
+    // its term ended.
+    const bool must_not_start =
         placement.observed.seen || must_stop(placement) || !is_of_this_term(placement);
-    return shows_token && not_to_start ? Finding::gone : Finding::start_lost;
+    return shows_token && must_not_start ? Finding::gone : Finding::start_lost;
 }
 
-// Whether the worker has forgotten the task with an earlier agent epoch. What an earlier leader may
-// have sent to this epoch counts until it is fenced off.
+// Returns true if the task belonged to an earlier agent epoch and the worker has forgotten it. An
+// earlier leader may have sent the start command to the present epoch; that is ruled out only once
+// the worker has seen a token of this term.
 bool Reconciler::was_forgotten(const Placement& placement, const WorkerHeartbeat& heartbeat) const {
     const auto epoch = placement.start.agent_epoch;
     if (epoch == 0 || heartbeat.order.agent_epoch <= epoch) return false;
-    const bool shows_term = term_of(heartbeat.token) == election_.term();
-    return (is_of_this_term(placement) || shows_term) &&
+    const bool shows_this_term = term_of(heartbeat.token) == election_.term();
+    return (is_of_this_term(placement) || shows_this_term) &&
            !lists_attempt(heartbeat, placement.attempt);
 }
 
--- a/src/workers/task_status_processor.cpp
+++ b/src/workers/task_status_processor.cpp
@@ -19,7 +19,7 @@
 using wire::WorkerHeartbeat;
 
 namespace {
-// For so long a worker that refused a task for lack of room gets no other.
+// Time for which a worker that refused a task for lack of capacity receives no new tasks.
 constexpr Millis kRefusalBackoff{2000};
 }  // namespace
 
@@ -34,7 +34,7 @@
       on_task_completed_(std::move(on_task_completed)) {}
 
 void TaskStatusProcessor::apply(Machine& machine, const WorkerHeartbeat& heartbeat) {
-    const auto listed_before = std::move(machine.worker.exited);
+    const auto previously_exited = std::move(machine.worker.exited);
     machine.worker.exited.clear();
     machine.worker.unrecorded_tasks.clear();
     for (const auto& task : heartbeat.tasks) {
@@ -44,7 +44,7 @@
         const bool recorded = it != machine.placements.end() && it->second.attempt == task.attempt;
         auto* placement = recorded ? &it->second : nullptr;
         if (task.phase == TaskPhase::exited) {
-            apply_exited(machine, task, placement, listed_before);
+            apply_exited(machine, task, placement, previously_exited);
         } else {
             apply_present(machine, heartbeat, task, placement);
         }
@@ -67,25 +67,28 @@
     machine.worker.images.insert(placement->job->spec.image);
 }
 
-// The fence counter from which on no repeat of a command can start the exited attempt again.
-std::uint64_t TaskStatusProcessor::fence_of_exited(const Machine& machine, const TaskStatus& task,
-                                                   const Placement* placement) const {
+// Returns the fence counter from which on no duplicate of a command can start the exited attempt
+// again.
+std::uint64_t TaskStatusProcessor::fence_counter_for_exited(const Machine& machine,
+                                                            const TaskStatus& task,
+                                                            const Placement* placement) const {
     if (placement) return placement->start.fenced_from;
-    // This leader has placed it, and no longer knows in which command it was sent.
+    // This leader placed the task but no longer knows which command started it.
     if (term_of(task.attempt) == election_.term()) return machine.worker.fence_counter + 1;
     return 0;
 }
 
 void TaskStatusProcessor::apply_exited(Machine& machine, const TaskStatus& task,
                                        Placement* placement,
-                                       const std::vector<ExitedTask>& listed_before) {
-    ExitedTask entry{task.task, task.attempt, {}, 0, fence_of_exited(machine, task, placement)};
+                                       const std::vector<ExitedTask>& previously_exited) {
+    ExitedTask entry{
+        task.task, task.attempt, {}, 0, fence_counter_for_exited(machine, task, placement)};
     Job* job = state_.find_job(task.task.job);
     if (job) {
         entry.record = state::progress_key(*job, task.task.index);
         entry.outcome = state_.version();
     }
-    for (const auto& earlier : listed_before) {
+    for (const auto& earlier : previously_exited) {
         if (earlier.task != task.task || earlier.attempt != task.attempt) continue;
         entry.outcome = earlier.outcome;
         entry.fenced_from = earlier.fenced_from;
@@ -94,7 +97,8 @@
         apply_outcome(machine, *placement, task);
         entry.outcome = state_.version();
     } else if (job && task.reason == ExitReason::done) {
-        // Completed under a record that an earlier leader no longer held; the result counts.
+        // The attempt ran under a placement of an earlier leader that is no longer on record. It
+        // completed the task, so its result counts.
         state_.mark_done(*job, task.task.index);
         entry.outcome = std::max(entry.outcome, state_.version());
     }
--- a/src/workers/task_status_processor.hpp
+++ b/src/workers/task_status_processor.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Applies the tasks that a worker's heartbeat lists to the cluster state.
+/// Processing of the task statuses in workers' heartbeats.
 #pragma once
 
 #include <functional>
@@ -16,26 +16,28 @@
 
 namespace dunebridge::workers {
 
-/// A task that has been completed, from which run times are learnt.
+/// A completed task, from which the run times of its job class are learned.
 struct CompletedTask {
     const state::Job* job = nullptr;
     const state::Machine* machine = nullptr;
-    double ran_s = 0;
+    double ran_s = 0;  ///< seconds since a heartbeat first showed the task as running
 };
 
-/// Called for each placement whose task is done and was seen running.
+/// Called for each placement whose task is done, if a heartbeat has shown the task as running.
 using OnTaskCompleted = std::function<void(const CompletedTask&)>;
 
-/// Takes in what a heartbeat lists: tasks that are on the worker, tasks that have exited with their
-/// outcome, and tasks that no record names.
+/// Applies the tasks that a heartbeat lists to the cluster state: tasks on the worker, exited tasks
+/// with their outcome, and tasks without a recorded placement.
 ///
-/// What is listed is true whatever fencing token the heartbeat shows: the tasks are on the worker,
-/// and an attempt that has exited stays exited. What is not listed is the Reconciler's part.
+/// The listed statuses are valid whatever fencing token the heartbeat carries: the tasks are on the
+/// worker, and an exited attempt stays exited. The Reconciler handles tasks that are not listed.
 class TaskStatusProcessor {
   public:
     TaskStatusProcessor(sansio::Context& context, const coordination::Election& election,
                         state::ClusterState& cluster_state, OnTaskCompleted on_task_completed);
 
+    /// Applies the heartbeat's tasks, and replaces the machine's lists of exited and unrecorded
+    /// tasks.
     void apply(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat);
 
   private:
@@ -43,9 +45,10 @@
                        const wire::TaskStatus& task, state::Placement* placement);
     void apply_exited(state::Machine& machine, const wire::TaskStatus& task,
                       state::Placement* placement,
-                      const std::vector<state::ExitedTask>& listed_before);
-    std::uint64_t fence_of_exited(const state::Machine& machine, const wire::TaskStatus& task,
-                                  const state::Placement* placement) const;
+                      const std::vector<state::ExitedTask>& previously_exited);
+    std::uint64_t fence_counter_for_exited(const state::Machine& machine,
+                                           const wire::TaskStatus& task,
+                                           const state::Placement* placement) const;
     void apply_outcome(state::Machine& machine, state::Placement& placement,
                        const wire::TaskStatus& task);
     void complete(state::Machine& machine, state::Placement& placement);
--- a/src/workers/worker_client.cpp
+++ b/src/workers/worker_client.cpp
@@ -5,20 +5,20 @@
 namespace dunebridge::workers {
 
 namespace {
-constexpr Millis kTimeout{1500};
+constexpr Millis kCommandTimeout{1500};
 }  // namespace
 
 void WorkerClient::send(const state::Machine& machine, FencingToken token,
                         const std::vector<wire::TaskCommand>& commands,
-                        std::function<void(const CommandResult&)> then) {
+                        std::function<void(const CommandResult&)> on_result) {
     auto body = wire::encode_commands(token, machine.worker.last_applied.agent_epoch, commands);
     context_.call(sansio::Destination::worker, machine.worker.endpoint, "POST", "/commands",
-                  std::move(body), kTimeout,
-                  [this, host = machine.host, then = std::move(then)](
-                      const sansio::HttpResult& reply) { then(read(host, reply)); });
+                  std::move(body), kCommandTimeout,
+                  [this, host = machine.host, on_result = std::move(on_result)](
+                      const sansio::HttpResult& reply) { on_result(parse_reply(host, reply)); });
 }
 
-CommandResult WorkerClient::read(const MachineName& host, const sansio::HttpResult& reply) {
+CommandResult WorkerClient::parse_reply(const MachineName& host, const sansio::HttpResult& reply) {
     const bool refused = reply.status == 409 || reply.status == 400;
     CommandResult result{refused || reply.not_sent(), std::nullopt};
     if (!reply.ok() && reply.status != 409) return result;
--- a/src/workers/worker_client.hpp
+++ b/src/workers/worker_client.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Sends direct commands to workers.
+/// Client for the workers' command endpoint.
 #pragma once
 
 #include <functional>
@@ -14,9 +14,10 @@
 
 /// The result of a direct command.
 struct CommandResult {
-    /// Certainly not executed, now or later. Without it they may have been, or may yet be.
-    bool unexecuted = false;
-    /// The worker's report after the commands.
+    /// True if the commands were certainly not executed and never will be. If false, they may have
+    /// been executed or may still be.
+    bool not_executed = false;
+    /// The worker's heartbeat in the reply; empty if the reply held no valid heartbeat.
     std::optional<wire::WorkerHeartbeat> heartbeat;
 };
 
@@ -25,12 +26,14 @@
   public:
     explicit WorkerClient(sansio::Context& context) : context_(context) {}
 
+    /// Sends the commands to the machine's worker. Calls `on_result` once the worker has replied or
+    /// the call has failed.
     void send(const state::Machine& machine, FencingToken token,
               const std::vector<wire::TaskCommand>& commands,
-              std::function<void(const CommandResult&)> then);
+              std::function<void(const CommandResult&)> on_result);
 
   private:
-    CommandResult read(const MachineName& host, const sansio::HttpResult& reply);
+    CommandResult parse_reply(const MachineName& host, const sansio::HttpResult& reply);
 
     sansio::Context& context_;
 };
--- a/src/workers/worker_leases.hpp
+++ b/src/workers/worker_leases.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The leases under which workers run tasks, as far as the leader can know them.
+/// The leader's view of the leases under which workers run tasks.
 #pragma once
 
 #include "config/config.hpp"
@@ -11,12 +11,12 @@
 
 namespace dunebridge::workers {
 
-/// Follows the workers' leases and removes the placements of those that have expired.
+/// Tracks the workers' leases and removes the placements on machines whose lease has expired.
 ///
 /// A worker kills its tasks when its lease expires, and only replies to its heartbeats renew the
-/// lease. A machine that is silent therefore holds no task any more once the lease, with an
-/// allowance for clocks that drift, has passed since this leader's last reply. That is proof only
-/// if no earlier leader can have renewed it since: the worker must have shown a token of this term.
+/// lease. A silent machine therefore runs no tasks once the lease duration, with an allowance for
+/// clock drift, has passed since this leader's last reply. This is proof only if no earlier leader
+/// can have renewed the lease since then: the worker must have shown a token of this term.
 class WorkerLeases {
   public:
     WorkerLeases(sansio::Context& context, const coordination::Election& election,
@@ -28,13 +28,13 @@
           liveness_(liveness),
           config_(config) {}
 
-    /// Takes note of leases that began or were renewed before this heartbeat. To be called before
-    /// the heartbeat is entered in the machine's worker status, with which it is compared.
-    void observe(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat) const;
-    /// Takes note of a reply to the worker's heartbeat, which renews the lease.
+    /// Records a lease that began or may have been renewed before this heartbeat. Must be called
+    /// before the heartbeat is applied to the machine's worker status, with which it is compared.
+    void observe_heartbeat(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat) const;
+    /// Records that a reply to the worker's heartbeat renews the lease now.
     void renew(state::Machine& machine) const;
-    /// Removes the placements of a machine whose lease has expired.
-    void expire(state::Machine& machine);
+    /// Removes the machine's committed placements if its lease has expired.
+    void remove_expired_placements(state::Machine& machine);
 
   private:
     bool has_expired(const state::Machine& machine) const;
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -15,11 +15,11 @@
 using state::term_of;
 
 namespace {
-constexpr Millis kCheckEvery{250};
-// A bound on memory only, several times the largest fleet: after an answer of the cloud was lost,
-// or while the list is late, all machines may be unknown at once.
+constexpr Millis kCheckInterval{250};
+// Only bounds memory use. It is several times the largest fleet, as all machines may be unknown at
+// once after a response of the cloud was lost, or while the cloud's machine list is out of date.
 constexpr std::size_t kMaxUnknownWorkers = 20000;
-constexpr Millis kForgetUnknownWorkers{60000};
+constexpr Millis kUnknownWorkerRetention{60000};
 }  // namespace
 
 WorkerManager::WorkerManager(sansio::Context& context, coordination::Election& election,
@@ -37,7 +37,7 @@
 
 void WorkerManager::reset() { unknown_workers_.clear(); }
 
-FencingToken WorkerManager::token_of(const Machine& machine) const {
+FencingToken WorkerManager::fencing_token(const Machine& machine) const {
     return make_token(election_.term(), machine.worker.fence_counter);
 }
 
@@ -47,8 +47,9 @@
     auto* machine = find_or_add_machine(id, heartbeat);
     if (!machine) return;
     auto& worker = machine->worker;
-    // A worker sends its heartbeats in order, one at a time: this is a late copy, or one that it
-    // has given up. Nobody waits for the reply, which must not count as a renewal of the lease.
+    // A worker sends its heartbeats in order, one at a time. This one is a late duplicate, or the
+    // worker has given up waiting for its reply. Nobody reads the reply, so it must not count as a
+    // renewal of the lease.
     if (worker.heartbeat_received && heartbeat.order <= worker.last_heartbeat_request) {
         context_.refuse(id, RefusalReason::heartbeat_out_of_order);
         return;
@@ -58,36 +59,38 @@
         context_.refuse(id, RefusalReason::heartbeat_superseded);
         return;
     }
-    count_unacknowledged(*machine);
+    count_unacknowledged_reply(*machine);
     leases_.renew(*machine);
     std::vector<wire::TaskCommand> commands;
-    // The worker has given up a heartbeat that newer ones overtook: it will not read the reply.
+    // If a newer heartbeat has already been applied, the worker no longer waits for this reply and
+    // would not read the commands.
     if (worker.last_applied == heartbeat.order) {
         commands = command_dispatcher_.commands_for_reply(*machine);
     }
-    context_.respond(id, 200, wire::encode_heartbeat_reply(token_of(*machine), commands));
+    context_.respond(id, 200, wire::encode_heartbeat_reply(fencing_token(*machine), commands));
 }
 
-// The machine of the heartbeat; null if the request has been answered already.
+// Returns the machine that sent the heartbeat; null if the request has already been answered.
 Machine* WorkerManager::find_or_add_machine(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
-    // A late heartbeat must not bring back a machine that the cloud has deleted.
+    // A late heartbeat must not add a machine again that the cloud has deleted.
     if (released_machines_.contains(heartbeat.host)) {
         context_.refuse(id, RefusalReason::machine_released);
         return nullptr;
     }
-    if (auto* known = state_.find_machine(heartbeat.host)) return known;
-    if (introduce_token(id, heartbeat)) return nullptr;
-    // Brought by a scale-out request whose answer was lost, or before this term. It is used, or
-    // scaled in when it is idle.
+    if (auto* machine = state_.find_machine(heartbeat.host)) return machine;
+    if (answer_unknown_worker(id, heartbeat)) return nullptr;
+    // The machine comes from a scale-out request whose response was lost, or from before this term.
+    // It is used, and scaled in when it is idle.
     context_.log(sansio::LogLevel::info, "event=unrecorded_machine host={}", heartbeat.host.get());
     return &state_.add_machine(heartbeat.host, heartbeat.machine_type, heartbeat.zone,
                                heartbeat.spot);
 }
 
-// A late heartbeat of a machine that is long gone must not bring it back. A worker that no record
-// names is therefore given the token first, and taken in once it shows a token of this term.
-// Returns false if it does; otherwise the request has been answered.
-bool WorkerManager::introduce_token(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
+// A late heartbeat of a machine that no longer exists must not add it again. An unrecorded worker
+// is therefore sent a token of this term first, and its machine is added only once a heartbeat
+// carries a token of this term. Returns false if this heartbeat does; otherwise the request has
+// been answered.
+bool WorkerManager::answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& heartbeat) {
     if (term_of(heartbeat.token) == election_.term()) {
         unknown_workers_.erase(heartbeat.host);
         return false;
@@ -102,21 +105,22 @@
     return true;
 }
 
-// Replies of which the worker shows nothing do not reach it, although its heartbeats arrive.
-void WorkerManager::count_unacknowledged(Machine& machine) const {
+// Counts the replies in a row after which the worker has not shown the current token: its
+// heartbeats arrive, but the replies do not reach it.
+void WorkerManager::count_unacknowledged_reply(Machine& machine) const {
     auto& worker = machine.worker;
-    if (worker.acknowledged_token == token_of(machine)) {
+    if (worker.acknowledged_token == fencing_token(machine)) {
         worker.unacknowledged_replies = 0;
     } else if (worker.unacknowledged_replies++ == 0) {
         worker.unacknowledged_since = context_.now();
     }
 }
 
-// ---- time ----
+// ---- periodic work ----
 
 void WorkerManager::tick() {
     if (context_.now() >= next_check_) {
-        next_check_ = context_.now() + kCheckEvery;
+        next_check_ = context_.now() + kCheckInterval;
         check_machines();
     }
     command_dispatcher_.tick();
@@ -124,12 +128,12 @@
 
 void WorkerManager::check_machines() {
     std::erase_if(unknown_workers_, [&](const auto& worker) {
-        return context_.now() - worker.second > kForgetUnknownWorkers;
+        return context_.now() - worker.second > kUnknownWorkerRetention;
     });
     for (auto& [host, machine] : state_.machines()) {
-        leases_.expire(machine);
-        // What an unresponsive machine certainly has not got is placed elsewhere.
-        if (state::is_unresponsive(machine)) remove_placements_if(state_, machine, is_never_sent);
+        leases_.remove_expired_placements(machine);
+        // Tasks that were certainly not sent to an unresponsive machine are placed elsewhere.
+        if (state::is_unresponsive(machine)) remove_placements_if(state_, machine, was_never_sent);
     }
 }
 
--- a/src/workers/worker_manager.hpp
+++ b/src/workers/worker_manager.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// The leader's side of the workers: answers their heartbeats and sends them commands.
+/// The leader's communication with workers: heartbeats and commands.
 #pragma once
 
 #include <map>
@@ -18,15 +18,16 @@
 
 namespace dunebridge::workers {
 
-/// Handles all that passes between the leader and the workers. Used on the leader only, once its
+/// Handles all communication between the leader and the workers. Used only on the leader, once its
 /// cluster state is loaded.
 ///
-/// A placement leaves the cluster state only once it is proved that its task is not on the machine,
-/// by one of these:
+/// A placement is removed from the cluster state only once there is proof that its task is not on
+/// the machine, by one of these:
 ///  - a heartbeat of the worker (Reconciler);
 ///  - the end of the worker's lease (WorkerLeases);
 ///  - the cloud, which reports the machine as failed or confirms its deletion (src/provisioning).
-/// Silence, a refused connection and a row missing from the cloud's machine list prove nothing.
+/// A worker's silence, a refused connection or a row missing from the cloud's machine list is not
+/// proof. The objects passed to the constructor must outlive the manager.
 class WorkerManager {
   public:
     WorkerManager(sansio::Context& context, coordination::Election& election,
@@ -34,19 +35,20 @@
                   const state::ReleasedMachines& released_machines, const config::Config& config,
                   OnTaskCompleted on_task_completed);
 
-    /// Answers a heartbeat that a worker has sent. The reply carries its commands and renews its
-    /// lease.
+    /// Answers a worker's heartbeat request. The reply carries the worker's commands and renews its
+    /// lease, unless the heartbeat is refused.
     void handle_heartbeat(RequestId id, const wire::WorkerHeartbeat& heartbeat);
-    /// Looks after leases now and then, and sends the direct commands that have been requested.
+    /// Periodically removes placements of expired leases, and sends the direct commands that have
+    /// been requested.
     void tick();
-    /// To be called when a term begins.
+    /// Forgets the unknown workers. Must be called when a term begins.
     void reset();
 
   private:
     state::Machine* find_or_add_machine(RequestId id, const wire::WorkerHeartbeat& heartbeat);
-    bool introduce_token(RequestId id, const wire::WorkerHeartbeat& heartbeat);
-    void count_unacknowledged(state::Machine& machine) const;
-    FencingToken token_of(const state::Machine& machine) const;
+    bool answer_unknown_worker(RequestId id, const wire::WorkerHeartbeat& heartbeat);
+    void count_unacknowledged_reply(state::Machine& machine) const;
+    FencingToken fencing_token(const state::Machine& machine) const;
     void check_machines();
 
     sansio::Context& context_;
@@ -56,7 +58,8 @@
     WorkerLeases leases_;
     HeartbeatProcessor heartbeat_processor_;
     CommandDispatcher command_dispatcher_;
-    /// Workers that no record names and that have been given the token, with the time of that.
+    /// Workers that are not in the cluster state and have been sent a token of this term, with the
+    /// time of the first such reply.
     std::map<MachineName, Instant> unknown_workers_;
     Instant next_check_{};
 };
