--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -121,7 +121,7 @@
 // With more machines than sockets, workers share connections and each opens one anew for its
 // heartbeats: that is slower and costs processor time.
 void Provisioner::warn_if_too_large(const ScalingInput& input) {
-    const auto sockets = config::SocketBudget(config_.fd_limit).front;
+    const auto sockets = config::SocketBudget(config_.fd_limit).public_server;
     if (input.machines.size() <= sockets || context_.now() < next_warning_) return;
     next_warning_ = context_.now() + kWarningInterval;
     context_.log(LogLevel::error, "event=too_few_sockets machines={} places={} fd_limit={}",
--- a/src/workers/command_dispatcher.cpp
+++ b/src/workers/command_dispatcher.cpp
@@ -37,7 +37,7 @@
       heartbeat_processor_(heartbeat_processor),
       command_builder_(election, cluster_state),
       client_(context),
-      max_in_flight_(config::SocketBudget(config.fd_limit).commands) {}
+      max_in_flight_(config::SocketBudget(config.fd_limit).worker_client) {}
 
 std::vector<wire::TaskCommand> CommandDispatcher::commands_for_reply(Machine& machine) const {
     return command_builder_.build(machine, ExchangeKind::heartbeat);
