--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -31,10 +31,10 @@
 struct HttpClient::Connection {
     Connection(asio::io_context& io, std::shared_ptr<std::size_t> open_connections)
         : open_count(std::move(open_connections)), socket(io), deadline(io) {
-        ++*open_count_count;
+        ++*open_count;
         buffer.reserve(kInitialBuffer);
     }
-    ~Connection() { --*open_count_count; }
+    ~Connection() { --*open_count; }
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
     Connection(Connection&&) = delete;
