--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -122,7 +122,7 @@
 // With more machines than sockets, the workers have to share the sockets and each one opens a new
 // connection for its heartbeats, which is slower and costs CPU time.
 void Provisioner::warn_if_too_few_sockets(const ScalingInput& input) {
-    const auto sockets = config::SocketBudget(config_.fd_limit).front;
+    const auto sockets = config::SocketBudget(config_.fd_limit).public_server;
     if (input.machines.size() <= sockets || context_.now() < next_socket_warning_) return;
     next_socket_warning_ = context_.now() + kSocketWarningInterval;
     context_.log(LogLevel::error, "event=too_few_sockets machines={} places={} fd_limit={}",
