--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -34,11 +34,14 @@
     const auto* team = config.find_team(spec.team);
     if (!team) return Refusal(RefusalReason::never_runnable, "unknown team");
     if (is_over_team_limit(spec, *team)) {
-        return Refusal(RefusalReason::never_runnable, "over the team's limit");
+        return Refusal(RefusalReason::never_runnable, "a task exceeds the limits of the team");
     }
     const bool fits_some =
         std::any_of(types.begin(), types.end(), [&](const auto& type) { return fits(spec, type); });
-    if (!fits_some) return Refusal(RefusalReason::never_runnable, "fits no allowed machine type");
+    if (!fits_some) {
+        return Refusal(RefusalReason::never_runnable,
+                       "a task fits no machine type that the job allows");
+    }
     return std::nullopt;
 }
 
--- a/src/api/submission_service.cpp
+++ b/src/api/submission_service.cpp
@@ -95,7 +95,8 @@
 void SubmissionService::look_up_dependencies(JobRequest request) {
     const auto dependencies = request.submission.record.spec.waits_on;  // `request` is moved from
     if (std::find(dependencies.begin(), dependencies.end(), request.job) != dependencies.end()) {
-        reject(std::move(request), {RefusalReason::never_runnable, "it waits on itself"});
+        reject(std::move(request),
+               {RefusalReason::never_runnable, "waits_on contains the job itself"});
         return;
     }
     const auto deadline = request.received_at + kDependencyLookupTimeout;
@@ -113,7 +114,7 @@
             break;
         case DependencyResult::Outcome::never_accepted:
             reject(std::move(request),
-                   {RefusalReason::never_runnable, "it waits on a job that was never accepted"});
+                   {RefusalReason::never_runnable, "waits_on contains an unknown job"});
             break;
         case DependencyResult::Outcome::found:
             request.submission.record.ancestors = found.ancestors;
@@ -132,11 +133,11 @@
             break;
         case PrepareResult::too_large:
             reject(std::move(request),
-                   {RefusalReason::never_runnable, "its description is larger than can be kept"});
+                   {RefusalReason::never_runnable, "the job exceeds the maximum size of a record"});
             break;
         case PrepareResult::too_many_dependencies:
             reject(std::move(request),
-                   {RefusalReason::never_runnable, "it waits on more jobs than can be kept"});
+                   {RefusalReason::never_runnable, "waits_on contains too many jobs"});
             break;
         case PrepareResult::format_not_adopted:
             responder_.respond_unavailable(request);
