--- a/src/api/ancestor_resolver.cpp
+++ b/src/api/ancestor_resolver.cpp
@@ -14,11 +14,12 @@
     ids.reserve(terminal.size());
     for (const auto& id : terminal) ids.push_back(id.get());
     kv_client_.multi_get(kv::kTerminalPrefix, std::move(ids), kReadTimeout,
-                        [this, terminal = std::move(terminal),
-                         request = std::move(request)](const kv::MultiGetResult& rows) mutable {
-                            const auto resolution = apply_terminal_records(request, terminal, rows);
-                            handle_resolution(std::move(request), resolution);
-                        });
+                         [this, terminal = std::move(terminal),
+                          request = std::move(request)](const kv::MultiGetResult& rows) mutable {
+                             const auto resolution =
+                                 apply_terminal_records(request, terminal, rows);
+                             handle_resolution(std::move(request), resolution);
+                         });
 }
 
 AncestorResolver::Resolution AncestorResolver::apply_terminal_records(
--- a/src/api/dependency_lookup.cpp
+++ b/src/api/dependency_lookup.cpp
@@ -38,13 +38,13 @@
 
 void DependencyLookup::read_job_records(const SharedLookup& lookup) {
     kv_client_.multi_get(kv::kJobPrefix, lookup->ids_to_read, kReadTimeout,
-                        [this, lookup](const kv::MultiGetResult& rows) {
-                            if (!rows.available || is_past_deadline(*lookup)) {
-                                finish(lookup, Outcome::unavailable);
-                            } else {
-                                handle_job_records(lookup, rows);
-                            }
-                        });
+                         [this, lookup](const kv::MultiGetResult& rows) {
+                             if (!rows.available || is_past_deadline(*lookup)) {
+                                 finish(lookup, Outcome::unavailable);
+                             } else {
+                                 handle_job_records(lookup, rows);
+                             }
+                         });
 }
 
 void DependencyLookup::handle_job_records(const SharedLookup& lookup,
@@ -73,15 +73,15 @@
 // neither was never accepted.
 void DependencyLookup::read_terminal_records(const SharedLookup& lookup) {
     kv_client_.multi_get(kv::kTerminalPrefix, lookup->ids_without_record, kReadTimeout,
-                        [this, lookup](const kv::MultiGetResult& rows) {
-                            if (!rows.available || is_past_deadline(*lookup)) {
-                                finish(lookup, Outcome::unavailable);
-                            } else if (!handle_terminal_records(*lookup, rows)) {
-                                finish(lookup, Outcome::never_accepted);
-                            } else {
-                                read_next_parts(lookup);
-                            }
-                        });
+                         [this, lookup](const kv::MultiGetResult& rows) {
+                             if (!rows.available || is_past_deadline(*lookup)) {
+                                 finish(lookup, Outcome::unavailable);
+                             } else if (!handle_terminal_records(*lookup, rows)) {
+                                 finish(lookup, Outcome::never_accepted);
+                             } else {
+                                 read_next_parts(lookup);
+                             }
+                         });
 }
 
 bool DependencyLookup::handle_terminal_records(Lookup& lookup, const kv::MultiGetResult& rows) {
--- a/src/provisioning/scale_in.cpp
+++ b/src/provisioning/scale_in.cpp
@@ -62,10 +62,12 @@
         const auto& spec = placement.job->spec;
         const double checkpoint_s =
             spec.checkpoint_interval_s > 0 ? spec.checkpoint_duration_s : 0.0;
-        const auto checkpoint_done_at = context_.now() + from_seconds(checkpoint_s) + kCheckpointMargin;
+        const auto checkpoint_done_at =
+            context_.now() + from_seconds(checkpoint_s) + kCheckpointMargin;
         const bool must_checkpoint_now = machine.worker.preemption_at && checkpoint_s > 0 &&
-                                 checkpoint_done_at >= *machine.worker.preemption_at;
-        if (machine.worker.cordoned || must_checkpoint_now) state_.stop_task(placement, checkpoint_s);
+                                         checkpoint_done_at >= *machine.worker.preemption_at;
+        if (machine.worker.cordoned || must_checkpoint_now)
+            state_.stop_task(placement, checkpoint_s);
     }
 }
 
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -210,7 +210,8 @@
 void ClusterStateWriter::handle_conflict(const kv::TransactionResult& result) {
     if (apply_cancellations(result.conflicting_keys)) return;
     context_.log(sansio::LogLevel::info, "event=transaction_conflict term={} key={} of={}",
-                 election_.term().get(), result.conflicting_keys.empty() ? "" : result.conflicting_keys.front(),
+                 election_.term().get(),
+                 result.conflicting_keys.empty() ? "" : result.conflicting_keys.front(),
                  result.conflicting_keys.size());
     // The leader key may have changed. The campaign for a new term requires the old revision of
     // the key, so it fails if another node leads.
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -122,7 +122,8 @@
         changed.pop_back();
         auto latest_end = job.dependencies.latest_end;
         if (latest_end != Instant::max()) {
-            latest_end -= from_seconds(job.spec.expected_run_time_s * kRunTimeSafetyFactor) + kDependentStartDelay;
+            latest_end -= from_seconds(job.spec.expected_run_time_s * kRunTimeSafetyFactor) +
+                          kDependentStartDelay;
         }
         for (const auto& dependency : job.dependencies.unmet) {
             Job* other = find(dependency);
--- a/src/state/run_time_estimator.cpp
+++ b/src/state/run_time_estimator.cpp
@@ -17,7 +17,8 @@
 
 void RunTimeEstimator::record_run_time(const state::Job& job, double run_time_s) {
     if (job.spec.expected_run_time_s <= 0) return;
-    const double ratio = std::clamp(run_time_s / job.spec.expected_run_time_s, kMinRatio, kMaxRatio);
+    const double ratio =
+        std::clamp(run_time_s / job.spec.expected_run_time_s, kMinRatio, kMaxRatio);
     auto [it, added] = class_ratios_.try_emplace(job.spec.job_class, ratio);
     if (!added) it->second += kSmoothingFactor * (ratio - it->second);
 }
--- a/src/workers/failure_attribution.cpp
+++ b/src/workers/failure_attribution.cpp
@@ -71,7 +71,7 @@
         const auto* job = state_.find_job(id);
         const bool has_success = job && job->done_count > 0;
         score += has_success ? kWeightWithSuccess * std::min(failures, kMaxCountedFailuresPerJob)
-                           : kWeightWithoutSuccess;
+                             : kWeightWithoutSuccess;
     }
     return score;
 }
--- a/src/workers/worker_leases.cpp
+++ b/src/workers/worker_leases.cpp
@@ -23,8 +23,8 @@
     const bool new_epoch =
         worker.heartbeat_received && heartbeat.order.agent_epoch > worker.last_applied.agent_epoch;
     // Until the worker has shown a token of this term, an earlier leader could renew its lease.
-    const bool first_of_term =
-        term_of(heartbeat.token) == election_.term() && !liveness_.has_acknowledged_current_term(machine);
+    const bool first_of_term = term_of(heartbeat.token) == election_.term() &&
+                               !liveness_.has_acknowledged_current_term(machine);
     if (new_epoch || first_of_term) renew(machine);
 }
 
