--- a/src/sansio/refusal.cpp
+++ b/src/sansio/refusal.cpp
@@ -17,9 +17,9 @@
     if (!detail_.empty()) return detail_;
     switch (reason_) {
         case RefusalReason::body_too_large:
-            return "body too large";
+            return "request too large";
         case RefusalReason::malformed:
-            return "malformed";
+            return "malformed request body";
         case RefusalReason::no_such_path:
             return "no such path";
         case RefusalReason::no_such_job:
@@ -27,7 +27,7 @@
         case RefusalReason::method_not_allowed:
             return "method not allowed";
         case RefusalReason::never_runnable:
-            return "never runs";
+            return "job can never run";
         case RefusalReason::not_ready:
             return "not ready";
         case RefusalReason::not_the_leader:
@@ -35,21 +35,21 @@
         case RefusalReason::no_leader:
             return "no leader";
         case RefusalReason::leader_loading:
-            return "starting";
+            return "leader is loading the cluster state";
         case RefusalReason::leader_unreachable:
-            return "leader not reached";
+            return "relay to the leader failed";
         case RefusalReason::cancellations_unknown:
-            return "cancellations not known";
+            return "leader may have missed a cancellation";
         case RefusalReason::kv_store_unavailable:
-            return "try again";
+            return "temporarily unavailable, try again";
         case RefusalReason::event_loop_stalled:
-            return "stood still";
+            return "event loop stalled";
         case RefusalReason::heartbeat_out_of_order:
-            return "overtaken";
+            return "heartbeat duplicated or out of order";
         case RefusalReason::heartbeat_superseded:
-            return "superseded";
+            return "worker holds a newer fencing token";
         case RefusalReason::machine_released:
-            return "returned";
+            return "machine has been released";
         case RefusalReason::too_many_unknown_workers:
             return "too many unknown workers";
     }
