--- a/src/api/job_responder.cpp
+++ b/src/api/job_responder.cpp
@@ -65,7 +65,7 @@
 
 void JobResponder::respond_unavailable(const JobRequest& request) {
     const std::chrono::seconds jitter(context_.random() % kRetryJitter_s);
-    context_.refuse(request.id, RefusalReason::kv_store_unavailable, jitter);
+    context_.refuse(request.id, RefusalReason::temporarily_unavailable, jitter);
 }
 
 }  // namespace dunebridge::api
--- a/src/sansio/refusal.cpp
+++ b/src/sansio/refusal.cpp
@@ -40,7 +40,7 @@
             return "relay to the leader failed";
         case RefusalReason::cancellations_unknown:
             return "leader may have missed a cancellation";
-        case RefusalReason::kv_store_unavailable:
+        case RefusalReason::temporarily_unavailable:
             return "temporarily unavailable, try again";
         case RefusalReason::event_loop_stalled:
             return "event loop stalled";
--- a/src/sansio/refusal.hpp
+++ b/src/sansio/refusal.hpp
@@ -14,8 +14,8 @@
 /// The reason for refusing a request.
 enum class RefusalReason : std::uint8_t {
     // The request is invalid and must not be repeated unchanged.
-    body_too_large,
-    malformed,  ///< The body cannot be decoded; the detail says why.
+    body_too_large,  ///< The header or the body exceeds the size limit.
+    malformed,       ///< The body cannot be decoded; the detail says why.
     no_such_path,
     no_such_job,
     method_not_allowed,
@@ -28,12 +28,16 @@
     leader_loading,  ///< This controller is the leader and is still loading the cluster state.
     leader_unreachable,
     cancellations_unknown,  ///< The leader may have missed a cancellation.
-    kv_store_unavailable,   ///< The key-value store did not respond in time.
+    /// A request about a job cannot be decided now: the key-value store gave no usable response, a
+    /// record in it is missing or invalid, the machine types are not known yet, the record format
+    /// that the job needs is not adopted yet, too many requests or ancestor checks are pending, or
+    /// this request has waited too long or has been attempted too often.
+    temporarily_unavailable,
     event_loop_stalled,  ///< The response was decided before the process stalled and is outdated.
 
     // The heartbeat of a worker is ignored.
-    heartbeat_out_of_order,  ///< A newer heartbeat of the worker has been handled already.
-    heartbeat_superseded,    ///< A newer status of the worker is known.
+    heartbeat_out_of_order,  ///< This heartbeat of the worker or a newer one has already arrived.
+    heartbeat_superseded,    ///< The worker's fencing token is newer than the leader's.
     machine_released,        ///< The machine has been returned to the cloud.
     too_many_unknown_workers,
 };
