--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -23,7 +23,9 @@
         terminal,    ///< The job has ended; `terminal` holds its state.
         has_record,  ///< The job has a job record, which is now in the cache.
         no_record,   ///< The job has no job record. Whether it is terminal must be confirmed.
-        unavailable  ///< The key-value store did not respond, or a record cannot be decoded.
+        /// A record could not be read or decoded, or the number of the job's dependency parts is
+        /// not the one in its job record.
+        unavailable
     };
     Outcome outcome = Outcome::unavailable;
     wire::JobStatus terminal;  ///< Set only for Outcome::terminal.
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -9,8 +9,8 @@
     constexpr Millis margin{1000};
     const Millis longest_lease(
         static_cast<std::int64_t>(static_cast<double>(worker_lease.count()) * drift_factor));
-    // If the settings leave less time than the minimum, the leader relies on the heartbeats of its
-    // peers, which arrive every second, to learn of cancellations.
+    // If the settings leave less time than the minimum, the leader relies on the heartbeats that it
+    // exchanges with its peers (PeerMonitor) to learn of cancellations.
     return std::max(cancellation_deadline - longest_lease - margin, kMinCancellationStaleness);
 }
 
--- a/src/controller/router.hpp
+++ b/src/controller/router.hpp
@@ -23,7 +23,8 @@
     std::string method;
     std::string target;
     std::string body;
-    bool too_large = false;  ///< The header or body exceeded the limit and was dropped.
+    /// The header or body exceeded the limit: the method, target and body may be incomplete.
+    bool too_large = false;
 };
 
 /// A user submits a job.
--- a/src/provisioning/scaling_plan.hpp
+++ b/src/provisioning/scaling_plan.hpp
@@ -52,8 +52,8 @@
     double placed_cores = 0;        ///< allocated to placed tasks now
     double average_used_cores = 0;  ///< moving average over about the last minute
     double headroom = 1.25;         ///< ratio of target cores to average used cores
-    /// Smallest nominal boot time of all machine types. A backlog that is processed sooner needs no
-    /// new on-demand machines.
+    /// Smallest nominal boot time of all machine types. A backlog that takes no longer than a
+    /// multiple of it is in itself no reason to request on-demand machines.
     Seconds shortest_boot{30};
     Seconds backlog_horizon{40};  ///< time within which the backlog should be processed
     Seconds idle_timeout{60};     ///< idle spot machines may be released after this time
--- a/src/state/retried_transaction.cpp
+++ b/src/state/retried_transaction.cpp
@@ -17,8 +17,10 @@
 constexpr Millis kFirstTimeout{1200};
 constexpr Millis kTimeout{2500};
 constexpr Millis kRetryBackoff{120};
-// Without any response a term lasts for no more attempts than this: a key-value store that responds
-// to none of them is in effect down.
+// Unless one of this many attempts settles the outcome, it is left unknown. The limit is meant for
+// a key-value store that is in effect down, but every attempt counts: also one that was refused
+// after another had no conclusive response. It does not limit the time, because retries wait for
+// the write budget.
 constexpr int kMaxAttempts = 40;
 
 bool is_terminal_record(const wire::Write& write) {
--- a/src/workers/task_status_processor.cpp
+++ b/src/workers/task_status_processor.cpp
@@ -97,8 +97,9 @@
         apply_outcome(machine, *placement, task);
         entry.outcome_version = state_.version();
     } else if (job && task.reason == ExitReason::done) {
-        // The attempt ran under a placement of an earlier leader that is no longer on record. It
-        // completed the task, so its result counts.
+        // The placement of the attempt is not on record, or no longer: for example, an earlier
+        // heartbeat has listed the attempt as exited, or an earlier leader placed it. It completed
+        // the task, so its result counts.
         state_.mark_done(*job, task.task.index);
         entry.outcome_version = std::max(entry.outcome_version, state_.version());
     }
