--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -73,7 +73,7 @@
     return &job;
 }
 
-// The job's recorded placements keep their resources until they are proved gone.
+// The job's recorded placements keep their resources until the placements are known to have ended.
 Job& ClusterState::add_terminal_job(const JobId& id) {
     auto& job = jobs_[id];
     job.spec.id = id;
@@ -114,7 +114,8 @@
     if (index >= job.tasks.size() || job.tasks[index].done || job.state != JobState::active) return;
     job.tasks[index].done = true;
     ++job.done_count;
-    // Only for a task without a placement, which is rare: erasing searches a list that may be long.
+    // Done only for a task without a placement, a rare case: erasing searches a list that may be
+    // long.
     if (!job.tasks[index].placement) std::erase(job.pending_tasks, index);
     mark_progress_dirty(job, index, CommitUrgency::batched);
     finish_if_done(job);
--- a/src/state/cluster_state.hpp
+++ b/src/state/cluster_state.hpp
@@ -70,7 +70,7 @@
     /// Makes the job terminal because a terminal record of it exists; has no effect if it is
     /// unknown or terminal already, or if this leader is committing its terminal record. `at_ms` is
     /// when it ended, in wall clock milliseconds; 0 means now. Placements that are not committed
-    /// are removed; workers are told to stop the others.
+    /// are removed; workers are instructed to stop the others.
     void mark_terminal(const JobId& id, std::int64_t at_ms);
     /// To be called once the job's terminal record is committed: jobs that depend on it become
     /// runnable, or are cancelled if it was cancelled.
@@ -115,7 +115,7 @@
 
     /// Places the job's next pending task on the machine. The job must have a pending task.
     void place(Job& job, Machine& machine);
-    /// Adds a placement that is on record.
+    /// Adds a placement that is already stored.
     void restore_placement(Job& job, std::uint32_t index, Machine& machine, Attempt attempt);
     /// Removes a placement. The caller must have proof that the task is not on the machine any
     /// more, or was never sent there. The task becomes pending again unless it is done.
@@ -130,7 +130,7 @@
     // ---- scale-out requests ----
 
     void add_scale_out(const wire::ScaleOutRequest& request);
-    /// Adds a scale-out request that is on record, with its machines.
+    /// Adds a scale-out request that is already stored, with its machines.
     void restore_scale_out(ScaleOutRecord record);
     /// Applies the cloud's response to a scale-out request: `hosts` are the machines that it
     /// provisioned. If there are none, the request is finished and its record is deleted.
--- a/src/state/cluster_state_follower.hpp
+++ b/src/state/cluster_state_follower.hpp
@@ -26,8 +26,8 @@
     /// reflect every terminal record that was committed before `terminal_records_read_at`.
     void start(KeyRevision from, Instant terminal_records_read_at);
 
-    /// Every terminal record that was committed before this time is known. Its age limits how long
-    /// leases may be renewed (LeadershipGuard::may_renew_leases).
+    /// Every terminal record that was committed before this time is known. The age of this time
+    /// limits how long leases may be renewed (LeadershipGuard::may_renew_leases).
     Instant terminal_records_read_at() const { return terminal_records_read_at_; }
 
   private:
--- a/src/state/cluster_state_loader.cpp
+++ b/src/state/cluster_state_loader.cpp
@@ -113,7 +113,7 @@
     }
     for (const auto& placement : record.placements) {
         if (placement.task_index >= task_count) throw wire::DecodeError("index");
-        // A machine that no scale-out record names any more is kept until it is proved gone.
+        // A machine that no scale-out record names any more is kept until it is known to be gone.
         auto* machine = state_.find_machine(placement.machine);
         if (!machine) machine = &state_.create_machine(placement.machine);
         state_.restore_placement(job, placement.task_index, *machine, placement.attempt);
@@ -121,8 +121,9 @@
 }
 
 // Returns the job of a progress record. If the job is terminal and its own record is deleted, it is
-// added as a terminal job, because its recorded placements count until they are proved gone. The
-// number of its tasks is then unknown: there are at least as many as the progress records cover.
+// added as a terminal job, because its recorded placements count until they are known to have
+// ended. The number of its tasks is then unknown: there are at least as many as the progress
+// records cover.
 Job& ClusterStateLoader::find_or_add_job(const JobId& id, std::uint32_t task_count) {
     auto* known = state_.find_job(id);
     auto& job = known ? *known : state_.add_terminal_job(id);
--- a/src/state/cluster_state_writer.cpp
+++ b/src/state/cluster_state_writer.cpp
@@ -119,8 +119,8 @@
     if (result.outcome == TransactionOutcome::ok) {
         handle_committed(transaction, result.rev);
     } else if (result.outcome == TransactionOutcome::unknown) {
-        // It may still be applied at any later time. A new term changes the revision of the leader
-        // key, after which it no longer can be.
+        // The transaction may still be applied at any later time. A new term changes the revision
+        // of the leader key, after which the transaction can no longer be applied.
         context_.log(sansio::LogLevel::info, "event=transaction_outcome_unknown term={}",
                      election_.term().get());
         election_.require_new_term();
@@ -147,8 +147,8 @@
     }
 }
 
-// The key-value store has lowered its limits. Later transactions keep to the lower ones; if one of
-// those is rejected as well, the next follows only after a longer backoff.
+// The key-value store has lowered its limits. Later transactions respect the lower limits; if one
+// of these transactions is rejected as well, the next is sent only after a longer backoff.
 void ClusterStateWriter::handle_too_large(const StateTransaction& transaction) {
     context_.log(sansio::LogLevel::error, "event=transaction_too_large writes={} bytes={}",
                  transaction.changes.size(), transaction.bytes);
@@ -219,7 +219,7 @@
 }
 
 // A terminal record that exists already is a user's cancellation that was committed first. Applies
-// those among the keys whose preconditions failed, and returns whether there were any.
+// the cancellations among the keys whose preconditions failed, and returns whether there were any.
 bool ClusterStateWriter::apply_cancellations(const std::vector<std::string>& failed_keys) {
     bool found = false;
     for (const auto& key : failed_keys) {
--- a/src/state/cluster_state_writer.hpp
+++ b/src/state/cluster_state_writer.hpp
@@ -30,11 +30,11 @@
                        coordination::Election& election, ClusterState& cluster_state,
                        const config::Config& config);
 
-    /// Abandons the transaction under way. To be called when a term begins or ends.
+    /// Abandons the transaction in progress. To be called when a term begins or ends.
     void reset();
-    /// Sends the next transaction if there is something to commit and none is under way. If it has
-    /// to wait for the send interval, the write budget or the delay of batched changes, asks to be
-    /// woken when it may be sent.
+    /// Sends the next transaction if there is something to commit and no transaction is in
+    /// progress. If the transaction has to wait for the send interval, the write budget or the
+    /// delay of batched changes, asks to be woken when it may be sent.
     void flush();
 
   private:
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -75,9 +75,9 @@
     }
 }
 
-// For a job that is not in the cluster state, or whose final phase is not known. Its terminal
-// record may not be visible yet, so reads are repeated until it is. Records that are requested at
-// the same time are read together.
+// Called for a job that is not in the cluster state, or whose final phase is not known. Its
+// terminal record may not be visible yet, so reads are repeated until it is. Records that are
+// requested at the same time are read together.
 void DependencyGraph::read_terminal_record(const JobId& id) {
     if (!dependents_.contains(id) || !unread_terminal_records_.insert(id).second || reading_)
         return;
--- a/src/state/instance_status.hpp
+++ b/src/state/instance_status.hpp
@@ -15,8 +15,8 @@
 struct InstanceStatus {
     /// When the machine was provisioned, as far as the cloud's machine list shows it.
     Instant provisioned_at{};
-    /// The machine is starting: the cloud's machine list shows it so, or no list and no heartbeat
-    /// has been received yet.
+    /// The machine is starting: the cloud's machine list reports it as starting, or no list and no
+    /// heartbeat has been received yet.
     bool starting = true;
     /// The machine was requested in this term and is still starting; provisioning::BootMonitor
     /// watches it.
--- a/src/state/job.hpp
+++ b/src/state/job.hpp
@@ -89,7 +89,7 @@
     /// The highest priority of the job and of all its direct and indirect dependents.
     wire::Priority effective_priority = wire::Priority::idle;
     /// The latest end with which the job and all its dependents can meet their deadlines;
-    /// Instant::max() without any deadline.
+    /// Instant::max() if there is no deadline.
     Instant latest_end = Instant::max();
 
     bool all_records_read() const { return records_read >= record_count; }
--- a/src/state/record_codec.hpp
+++ b/src/state/record_codec.hpp
@@ -1,6 +1,6 @@
 /// \file
 /// Encoding of the records that only the leader writes: progress and placements of tasks, scale-out
-/// requests, and the mark of the record format that is in force.
+/// requests, and the mark of the active record format.
 ///
 /// The encoding is byte for byte that of earlier versions (upgrade_test.cpp). Decoding throws
 /// wire::DecodeError for a value that is not in a known format.
@@ -59,10 +59,10 @@
 /// Decodes the record of a scale-out request. Throws wire::DecodeError.
 ScaleOutRecord decode_scale_out_record(wire::Value value);
 
-/// Encodes the mark that says which record format is in force.
+/// Encodes the mark that names the active record format.
 kv::PackedRecord encode_format_mark(std::uint64_t record_format);
-/// Returns the record format that the mark says is in force. Throws wire::DecodeError if that is
-/// newer than `newest_format`, or is the chunk format, for which no mark is written.
+/// Returns the record format that the mark names as active. Throws wire::DecodeError if that format
+/// is newer than `newest_format`, or is the chunk format, for which no mark is written.
 std::uint64_t decode_format_mark(wire::Value value, std::uint64_t newest_format);
 
 }  // namespace dunebridge::state
--- a/src/state/released_machines.cpp
+++ b/src/state/released_machines.cpp
@@ -3,7 +3,7 @@
 namespace dunebridge::state {
 
 namespace {
-// Longer than any message about a deleted machine can be delayed.
+// This is longer than any message about a deleted machine can be delayed.
 constexpr Millis kRetentionTime{900000};
 }  // namespace
 
--- a/src/state/retried_transaction.cpp
+++ b/src/state/retried_transaction.cpp
@@ -17,10 +17,10 @@
 constexpr Millis kFirstTimeout{1200};
 constexpr Millis kTimeout{2500};
 constexpr Millis kRetryBackoff{120};
-// Unless one of this many attempts settles the outcome, it is left unknown. The limit is meant for
-// a key-value store that is in effect down, but every attempt counts: also one that was refused
-// after another had no conclusive response. It does not limit the time, because retries wait for
-// the write budget.
+// If none of this many attempts determines the outcome, the outcome is left unknown. The limit is
+// meant for a key-value store that is in effect down, but every attempt counts, including one that
+// was refused after another had no conclusive response. The limit does not bound the time, because
+// retries wait for the write budget.
 constexpr int kMaxAttempts = 40;
 
 bool is_terminal_record(const wire::Write& write) {
@@ -106,13 +106,13 @@
     } else if (!has_unanswered_attempt_ || result.outcome == TransactionOutcome::ok) {
         finish(result);
     } else if (result.outcome == TransactionOutcome::refused) {
-        // This attempt was not executed, but an earlier one may still be.
+        // This attempt was not executed, but an earlier one may still be executed.
         retry_or_give_up();
     } else if (result.outcome == TransactionOutcome::conflict) {
         resolve_conflict(result);
     } else {
         // The transaction cannot be sent again unchanged, and an attempt without a response may
-        // have been applied or may still be: only a new term rules out the latter.
+        // have been applied or may still be applied: only a new term rules out the latter.
         finish_with_unknown_outcome();
     }
 }
@@ -152,7 +152,8 @@
 }
 
 // Some precondition has failed and can never hold again, because revisions only grow and terminal
-// records are never removed. So an attempt that has not been applied by now never will be.
+// records are never removed. Therefore an attempt that has not been applied by now will never be
+// applied.
 void RetriedTransaction::resolve_by_reading_back(const wire::Write& write,
                                                  const TransactionResult& conflict) {
     const auto resolve = [this, &write, conflict](const kv::GetResult& result) {
--- a/src/state/retried_transaction.hpp
+++ b/src/state/retried_transaction.hpp
@@ -4,9 +4,9 @@
 /// A transaction without a response may still be applied at any later time. It is sent again with
 /// the same preconditions. These require that every record that it writes is at the revision at
 /// which this leader left it, so at most one of the attempts can ever be applied: once one has been
-/// applied, or another precondition has failed for good, the others cannot be. If a conflict
-/// follows an attempt without a response, one of the records is read back: if it has changed, that
-/// attempt was applied.
+/// applied, or another precondition has failed permanently, the others cannot be applied. If a
+/// conflict follows an attempt without a response, one of the records is read back: if it has
+/// changed, that attempt was applied.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +25,8 @@
 class RetriedTransaction {
   public:
     /// Called once with the outcome, unless abandon() or another send() comes first. The outcome is
-    /// kv::TransactionOutcome::unknown if an attempt without a response may still be applied, or
-    /// may have been: only a new term settles that.
+    /// kv::TransactionOutcome::unknown if an attempt without a response may have been applied or
+    /// may still be applied: only a new term resolves this uncertainty.
     using OutcomeCallback = std::function<void(const kv::TransactionResult&)>;
 
     /// Retries are charged to `write_budget`; the caller charges the first attempt. All references
@@ -34,14 +34,14 @@
     RetriedTransaction(sansio::Context& context, kv::KvClient& kv_client,
                        TokenBucket& write_budget);
 
-    /// Sends the transaction and abandons an earlier one that is still under way.
+    /// Sends the transaction and abandons an earlier one that is still in progress.
     ///
     /// The first precondition must be the one on the leader key. Those on records must name the
     /// revision at which this leader left the record, so that only this leader can have changed it
     /// since.
     void send(std::vector<wire::Precondition> preconditions, std::vector<wire::Write> writes,
               OutcomeCallback on_outcome);
-    /// Stops retrying the transaction under way and drops its callback. An attempt that has been
+    /// Stops retrying the transaction in progress and drops its callback. An attempt that has been
     /// sent may still be applied.
     void abandon();
 
@@ -60,7 +60,7 @@
     void finish(const kv::TransactionResult& result);
     void finish_with_unknown_outcome();
 
-    /// Wraps a continuation so that it does nothing once the transaction under way is finished,
+    /// Wraps a continuation so that it does nothing once the transaction in progress is finished,
     /// abandoned or replaced by another one.
     template <class... Results, class Continuation>
     std::function<void(const Results&...)> unless_superseded(Continuation continuation) {
--- a/src/state/stored_records.hpp
+++ b/src/state/stored_records.hpp
@@ -15,14 +15,14 @@
   public:
     void clear() { revisions_.clear(); }
     bool contains(const std::string& key) const { return revisions_.contains(key); }
-    /// Returns the revision for a precondition on the record: if the record does not exist, the
-    /// default, which stands for an absent key.
+    /// Returns the revision for a precondition on the record: if the record does not exist, this is
+    /// the default revision, which stands for an absent key.
     KeyRevision revision(const std::string& key) const {
         const auto it = revisions_.find(key);
         return it == revisions_.end() ? KeyRevision() : it->second;
     }
     void set(const std::string& key, KeyRevision revision) { revisions_[key] = revision; }
-    /// For a record that was read late: a revision that is known already is at least as new.
+    /// Used for a record that was read late: a revision that is already known is at least as new.
     void set_if_unknown(const std::string& key, KeyRevision revision) {
         revisions_.try_emplace(key, revision);
     }
--- a/src/state/task_ranges.cpp
+++ b/src/state/task_ranges.cpp
@@ -53,8 +53,8 @@
     return parts;
 }
 
-// Returns the size of a part if the range is divided into at most so many. A size of one
-// hexadecimal digit of the record's task sets or more is rounded up to whole digits.
+// Returns the size of a part if the range is divided into at most `parts_wanted` parts. A size of
+// at least one hexadecimal digit of the record's task sets is rounded up to whole digits.
 std::uint32_t part_size(const TaskRange& range, std::uint32_t parts_wanted) {
     const auto size = std::max<std::uint32_t>(1, (range.size + parts_wanted - 1) / parts_wanted);
     if (size < kTasksPerHexDigit) return size;
--- a/src/state/task_ranges.hpp
+++ b/src/state/task_ranges.hpp
@@ -13,7 +13,7 @@
 namespace dunebridge::state {
 
 /// Adds ranges for the tasks of the job that no range covers, so that every task is in exactly one.
-/// Their size depends on the record format that is in force.
+/// Their size depends on the active record format.
 void complete_ranges(Job& job, std::uint64_t record_format);
 
 /// Returns the key of the progress record that covers the task; empty if there is none.
--- a/src/state/transaction_builder.cpp
+++ b/src/state/transaction_builder.cpp
@@ -54,7 +54,8 @@
 
 // Returns the value of a record other than a progress record; nothing if it is to be removed.
 std::optional<kv::PackedRecord> TransactionBuilder::encode_value(const std::string& key) const {
-    // Its key also begins with the prefix of scale-out records, so it has to be checked first.
+    // The key of the format mark also begins with the prefix of scale-out records, so it has to be
+    // checked first.
     if (key == kv::kFormatMarkerKey) {
         if (state_.format() < config::kRangeFormat) return std::nullopt;
         return encode_format_mark(state_.format());
@@ -134,9 +135,9 @@
     transaction_.writes.push_back({std::move(record.key), std::move(packed), std::nullopt});
 }
 
-// Requires of a terminal record that none exists, and of any other record that the stored one is
-// unchanged and, if it holds new placements, that its job has no terminal record: placements may
-// only be recorded for open jobs, and a job becomes terminal only once.
+// For a terminal record, requires that none exists. For any other record, requires that the stored
+// one is unchanged and, if the record holds new placements, that its job has no terminal record:
+// placements may only be recorded for open jobs, and a job becomes terminal only once.
 void TransactionBuilder::add_preconditions(const Record& record) {
     if (record.key.starts_with(kTerminalPrefix)) {
         require_open_job(record.key);
@@ -172,8 +173,8 @@
 
 // ---- records that are too large ----
 
-// Records of the chunk format cannot be split and may grow up to the limit that is in force now.
-// Those of the range format are split early enough to fit the lower limits that are to come.
+// Records of the chunk format cannot be split and may grow up to the limit that is active now.
+// Those of the range format are split early enough to fit the lower limits that will apply later.
 std::size_t TransactionBuilder::split_threshold() const {
     return state_.format() >= config::kRangeFormat ? limits_.kv.value_bytes()
                                                    : limits_.max_value_bytes();
@@ -213,9 +214,9 @@
     }
 }
 
-// Undoes placements until the record fits the limit that is in force now. Returns false if it is
-// still too large: the stored record then stays as it is, and the remaining changes are not acted
-// on.
+// Undoes placements until the record fits the limit that is active now. Returns false if the record
+// is still too large: the stored record then stays as it is, and the remaining changes are not
+// acted on.
 bool TransactionBuilder::shrink_to_limit(Record& record) {
     const auto limit = limits_.max_value_bytes();
     while (record.tasks && record.value->json_size > limit) {
--- a/src/state/transaction_builder.hpp
+++ b/src/state/transaction_builder.hpp
@@ -2,9 +2,10 @@
 /// Builds one compare-and-swap transaction from the records of the cluster state that are due.
 ///
 /// For every record that it writes, the transaction requires the revision at which this leader left
-/// the record, so that a copy of it that arrives late cannot overwrite a newer version. A progress
-/// record that exceeds the limits of the key-value store is split. Placements that cannot be
-/// recorded are undone, because a task may only start once its placement is recorded.
+/// the record, so that a copy of the transaction that arrives late cannot overwrite a newer
+/// version. A progress record that exceeds the limits of the key-value store is split. Placements
+/// that cannot be recorded are undone, because a task may only start once its placement is
+/// recorded.
 #pragma once
 
 #include <cstddef>
--- a/src/state/worker_status.hpp
+++ b/src/state/worker_status.hpp
@@ -14,8 +14,8 @@
 
 namespace dunebridge::state {
 
-/// A task that the worker lists as exited. The worker is told to clear it from its list once the
-/// outcome is committed.
+/// A task that the worker lists as exited. The worker is instructed to clear it from its list once
+/// the outcome is committed.
 struct ExitedTask {
     TaskRef task;
     Attempt attempt;
--- a/src/workers/failure_attribution.cpp
+++ b/src/workers/failure_attribution.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint32_t kWeightWithoutSuccess = 1;
 constexpr std::uint32_t kWeightWithSuccess = 2;
 constexpr std::uint32_t kMaxCountedFailuresPerJob = 2;
-// Failure score from which on a machine is cordoned.
+// Lowest failure score at which a machine is cordoned.
 constexpr std::uint32_t kCordonThreshold = 3;
 // A job is faulty if it has failed on kUnsuspectedMachinesForFaultyJob machines that are not
 // cordoned and on which no other job has failed. A job of which no task has ever succeeded is also
--- a/src/workers/heartbeat_processor.hpp
+++ b/src/workers/heartbeat_processor.hpp
@@ -28,7 +28,7 @@
 
     /// Applies the heartbeat, unless one that is as new or newer has already been applied. Returns
     /// false, without applying it, if its token is newer than this leader's; the election is then
-    /// told of the newer term.
+    /// notified of the newer term.
     bool apply(state::Machine& machine, const wire::WorkerHeartbeat& heartbeat,
                ExchangeKind exchange);
 
--- a/src/workers/reconciler.cpp
+++ b/src/workers/reconciler.cpp
@@ -40,7 +40,7 @@
     std::vector<PlacementKey> gone;
     for (auto& [key, placement] : machine.placements) {
         if (!placement.is_committed()) continue;
-        // The worker has read the reply to its previous heartbeat or never will.
+        // The worker has read the reply to its previous heartbeat or will never read it.
         if (is_heartbeat) placement.start.in_heartbeat_reply = false;
         switch (classify(machine, placement, heartbeat, exchange)) {
             case Finding::unknown:
@@ -72,7 +72,8 @@
         return Finding::unknown;
     const bool in_reply = delivery == StartDelivery::in_heartbeat_reply;
     // A worker reads the reply to a heartbeat before it builds the next heartbeat, or never. If the
-    // next heartbeat does not list the task, the start command was lost, whatever token it carries.
+    // next heartbeat does not list the task, the start command was lost, whatever token the
+    // heartbeat carries.
     const bool start_was_in_previous_reply =
         in_reply && exchange == ExchangeKind::heartbeat && !placement.observed.seen;
     const bool shows_token =
@@ -90,7 +91,7 @@
 }
 
 // Returns true if the task belonged to an earlier agent epoch and the worker has forgotten it. An
-// earlier leader may have sent the start command to the present epoch; that is ruled out only once
+// earlier leader may have sent the start command to the current epoch; this is ruled out only once
 // the worker has seen a token of this term.
 bool Reconciler::was_forgotten(const Placement& placement, const WorkerHeartbeat& heartbeat) const {
     const auto epoch = placement.start.agent_epoch;
--- a/src/workers/reconciler.hpp
+++ b/src/workers/reconciler.hpp
@@ -15,17 +15,17 @@
 
 /// Finds recorded placements whose tasks are not on their machine, and removes them.
 ///
-/// A placement that a heartbeat does not list is proved gone if the heartbeat is the newest so far
-/// and one of these conditions holds:
+/// A placement that a heartbeat does not list is known to have ended if the heartbeat is the newest
+/// so far and one of these conditions holds:
 ///  - The worker had seen the machine's current fencing token when it built the heartbeat, and no
 ///    command with the current token that starts the task is in transit, neither in a direct
 ///    command nor in a heartbeat reply. Commands with an older token cannot start the task, as the
 ///    worker refuses them.
-///  - The heartbeat belongs to a later agent epoch than the start command was sent to. When its
-///    lease ends, a worker forgets its tasks, begins a new epoch and refuses commands for earlier
-///    epochs. This condition requires that only the leader of this term can have sent the
-///    start command. An earlier leader may also have sent it unless this leader made the placement
-///    or the worker has shown a token of this term.
+///  - The heartbeat belongs to a later agent epoch than the one to which the start command was
+///    sent. When its lease ends, a worker forgets its tasks, begins a new epoch and refuses
+///    commands for earlier epochs. This condition requires that only the leader of this term can
+///    have sent the start command. An earlier leader may also have sent it unless this leader made
+///    the placement or the worker has sent a token of this term.
 class Reconciler {
   public:
     Reconciler(const coordination::Election& election, state::ClusterState& cluster_state)
--- a/src/workers/task_status_processor.cpp
+++ b/src/workers/task_status_processor.cpp
@@ -67,8 +67,8 @@
     machine.worker.images.insert(placement->job->spec.image);
 }
 
-// Returns the fence counter from which on no duplicate of a command can start the exited attempt
-// again.
+// Returns a fence counter such that, with this or a higher counter, no duplicate of a command can
+// start the exited attempt again.
 std::uint64_t TaskStatusProcessor::fence_counter_for_exited(const Machine& machine,
                                                             const TaskStatus& task,
                                                             const Placement* placement) const {
@@ -97,9 +97,9 @@
         apply_outcome(machine, *placement, task);
         entry.outcome_version = state_.version();
     } else if (job && task.reason == ExitReason::done) {
-        // The placement of the attempt is not on record, or no longer: for example, an earlier
-        // heartbeat has listed the attempt as exited, or an earlier leader placed it. It completed
-        // the task, so its result counts.
+        // The attempt has no recorded placement, or no longer has one: for example, an earlier
+        // heartbeat has listed the attempt as exited, or an earlier leader placed it. The attempt
+        // completed the task, so its result counts.
         state_.mark_done(*job, task.task.index);
         entry.outcome_version = std::max(entry.outcome_version, state_.version());
     }
--- a/src/workers/task_status_processor.hpp
+++ b/src/workers/task_status_processor.hpp
@@ -20,10 +20,10 @@
 struct CompletedTask {
     const state::Job* job = nullptr;
     const state::Machine* machine = nullptr;
-    double ran_s = 0;  ///< seconds since a heartbeat first showed the task as running
+    double ran_s = 0;  ///< seconds since a heartbeat first reported the task as running
 };
 
-/// Called for each placement whose task is done, if a heartbeat has shown the task as running.
+/// Called for each placement whose task is done, if a heartbeat has reported the task as running.
 using OnTaskCompleted = std::function<void(const CompletedTask&)>;
 
 /// Applies the tasks that a heartbeat lists to the cluster state: tasks on the worker, exited tasks
--- a/src/workers/worker_leases.cpp
+++ b/src/workers/worker_leases.cpp
@@ -19,10 +19,11 @@
 void WorkerLeases::observe_heartbeat(Machine& machine,
                                      const wire::WorkerHeartbeat& heartbeat) const {
     const auto& worker = machine.worker;
-    // A new agent epoch has a new lease, which began with the epoch and so not later than now.
+    // A new agent epoch has a new lease, which began with the epoch and therefore no later than
+    // now.
     const bool new_epoch =
         worker.heartbeat_received && heartbeat.order.agent_epoch > worker.last_applied.agent_epoch;
-    // Until the worker has shown a token of this term, an earlier leader could renew its lease.
+    // Until the worker has sent a token of this term, an earlier leader could renew its lease.
     const bool first_of_term = term_of(heartbeat.token) == election_.term() &&
                                !liveness_.has_acknowledged_current_term(machine);
     if (new_epoch || first_of_term) renew(machine);
--- a/src/workers/worker_leases.hpp
+++ b/src/workers/worker_leases.hpp
@@ -16,7 +16,7 @@
 /// A worker kills its tasks when its lease expires, and only replies to its heartbeats renew the
 /// lease. A silent machine therefore runs no tasks once the lease duration, with an allowance for
 /// clock drift, has passed since this leader's last reply. This is proof only if no earlier leader
-/// can have renewed the lease since then: the worker must have shown a token of this term.
+/// can have renewed the lease since then: the worker must have sent a token of this term.
 class WorkerLeases {
   public:
     WorkerLeases(sansio::Context& context, const coordination::Election& election,
--- a/src/workers/worker_manager.cpp
+++ b/src/workers/worker_manager.cpp
@@ -16,8 +16,9 @@
 
 namespace {
 constexpr Millis kCheckInterval{250};
-// Only bounds memory use. It is several times the largest fleet, as all machines may be unknown at
-// once after a response of the cloud was lost, or while the cloud's machine list is out of date.
+// This limit only bounds memory use. It is several times the largest fleet, as all machines may be
+// unknown at once after a response of the cloud was lost, or while the cloud's machine list is out
+// of date.
 constexpr std::size_t kMaxUnknownWorkers = 20000;
 constexpr Millis kUnknownWorkerRetention{60000};
 }  // namespace
@@ -105,7 +106,7 @@
     return true;
 }
 
-// Counts the replies in a row after which the worker has not shown the current token: its
+// Counts the consecutive replies after which the worker has not sent the current token: its
 // heartbeats arrive, but the replies do not reach it.
 void WorkerManager::count_unacknowledged_reply(Machine& machine) const {
     auto& worker = machine.worker;
