--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -27,7 +27,8 @@
     std::string method;
     std::string target;
     std::string body;
-    bool too_large = false;  ///< Its body or header exceeded the limit; the body may be incomplete.
+    /// The header or body exceeded the limit: the method, target and body may be incomplete.
+    bool too_large = false;
 };
 
 /// HTTP server that passes requests to a handler and writes the responses when respond() gives
--- a/src/scheduler/pending_queue.cpp
+++ b/src/scheduler/pending_queue.cpp
@@ -151,7 +151,7 @@
         within_s = std::min(within_s, guaranteed_wait_s_.value_or(within_s));
     // A task counts as started only once its image has been fetched. Users' estimates of the run
     // time are often too low by half, so the expected run time is multiplied by
-    // kRunTimeUncertainty.
+    // kRunTimeSafetyFactor.
     const double fetch_s = job.spec.image_gb / kImageFetchRate_gb_per_s;
     const double run_s =
         std::max(run_time_estimator_.expected_s(job), job.spec.expected_run_time_s) *
--- a/src/scheduler/task_constraints.cpp
+++ b/src/scheduler/task_constraints.cpp
@@ -16,12 +16,12 @@
     return std::find(types->begin(), types->end(), machine.machine_type) != types->end();
 }
 
-// `together`: all tasks of the job must run in one zone.
+// `single_zone`: all tasks of the job must run in one zone.
 bool satisfies_zone_affinity(const Job& job, const Machine& machine) {
     return job.placements_by_zone.empty() || job.placements_by_zone.contains(machine.zone);
 }
 
-// `apart`: at most half of the job's tasks, rounded up, may run in one zone.
+// `spread_zones`: at most half of the job's tasks, rounded up, may run in one zone.
 bool satisfies_zone_spread(const Job& job, const Machine& machine) {
     std::uint32_t placed_in_zone = 0;
     for (const auto& [zone, count] : job.placements_by_zone) {
--- a/src/scheduler/task_constraints.hpp
+++ b/src/scheduler/task_constraints.hpp
@@ -31,12 +31,12 @@
 TaskShape shape_of(const state::Job& job);
 
 /// Returns true if the machines on which a task may run also depend on the zones of the job's other
-/// tasks. The shape alone then does not tell whether a task fits.
+/// tasks. The shape alone then does not determine whether a task fits.
 bool has_zone_constraint(const state::Job& job);
 
-/// Returns true if the job's constraints (spot, zone, machine types, tasks together or apart) and
-/// the machine's reservation allow a task of the job to run on the machine. Does not check
-/// capacity.
+/// Returns true if the job's constraints (spot, zone, machine types, all tasks in a single zone or
+/// spread over zones) and the machine's reservation allow a task of the job to run on the machine.
+/// Does not check capacity.
 bool is_eligible(const state::Job& job, const state::Machine& machine);
 
 }  // namespace dunebridge::scheduler
