--- a/src/api/ancestor_check.hpp
+++ b/src/api/ancestor_check.hpp
@@ -20,8 +20,8 @@
 ///
 /// A check that found no terminal ancestor stays valid for a fraction of the cancellation deadline,
 /// the time within which a cancellation must reach all dependent jobs. The check does not cover the
-/// job's own terminal record: the transaction that confirms the response does, so that a response
-/// is never staler than an earlier one.
+/// job's own terminal record. The transaction that confirms the response covers that record, so
+/// that a response is never staler than an earlier one.
 class AncestorCheck {
   public:
     /// Result of a check.
@@ -59,7 +59,7 @@
     void finish(const JobId& job, Outcome outcome, const std::vector<JobId>& terminal);
     /// Removes results of checks that are no longer valid.
     void remove_expired();
-    /// For how long a check that found no terminal ancestor is valid, counted from its start.
+    /// The time for which a check that found no terminal ancestor is valid, from its start.
     Millis validity() const;
 
     sansio::Context& context_;
--- a/src/api/dependency_lookup.hpp
+++ b/src/api/dependency_lookup.hpp
@@ -46,7 +46,7 @@
         DependencyResult result;
         std::vector<std::string> ids_to_read;         ///< Dependencies not known to be done.
         std::vector<std::string> ids_without_record;  ///< Dependencies without a job record.
-        std::vector<JobId> jobs_with_parts;           ///< Their ancestors are in dependency parts.
+        std::vector<JobId> jobs_with_parts;  ///< Jobs whose ancestors are in dependency parts.
         Instant deadline{};
         OnFinished on_finished;
     };
--- a/src/api/job_cache.hpp
+++ b/src/api/job_cache.hpp
@@ -18,7 +18,7 @@
 /// since it was read: each response that calls a job open must be confirmed first.
 class JobCache {
   public:
-    /// What is known of one job.
+    /// The known state of one job.
     struct Entry {
         /// Revision of the job record; 0 if the job has none.
         KeyRevision record;
--- a/src/api/job_lookup.hpp
+++ b/src/api/job_lookup.hpp
@@ -53,8 +53,8 @@
 
     /// Queues a lookup of the request's job, or joins one that is queued or running.
     void start(JobRequest request, RecordKind first_record);
-    /// Returns whether there is a read to send. First removes lookups at the front of the queue for
-    /// which no request waits any more.
+    /// Returns whether there is a read to send. Lookups for which no request is waiting any
+    /// longer are first removed from the front of the queue.
     bool has_unsent_read();
     /// Sends the next read. has_unsent_read() must have returned true. The caller is responsible
     /// for the read budget.
--- a/src/api/job_request.hpp
+++ b/src/api/job_request.hpp
@@ -35,7 +35,7 @@
 };
 
 /// A request. It has one owner at a time, a queue or the callback of a store request, which either
-/// responds to it or passes it on. It is copyable only because callbacks must be.
+/// responds to it or passes it on. It is copyable only because callbacks must be copyable.
 struct JobRequest {
     RequestId id;
     JobId job;
@@ -46,7 +46,7 @@
     /// Whether a separate ancestor check found no terminal ancestor. Such a check is needed if the
     /// transaction that confirms the response cannot have enough preconditions for all of them.
     bool ancestors_checked = false;
-    int attempts = 0;  ///< How often it was queued or its cancellation conflicted.
+    int attempts = 0;  ///< How often the request was queued or its cancellation conflicted.
 };
 
 /// Decides whether a waiting request is dropped. Called once for each request; if it returns true,
--- a/src/api/job_responder.hpp
+++ b/src/api/job_responder.hpp
@@ -15,8 +15,8 @@
 /// Returns the progress of an open job, from the cluster state on the leader and from the leader's
 /// heartbeats elsewhere. It is for display only and may be stale.
 using GetProgress = std::function<coordination::JobProgress(const JobId&)>;
-/// Called once every node that must know of a cancellation before the user does either knows it or
-/// cannot be reached.
+/// Called when each node that must know of a cancellation before the user does either knows of it
+/// or cannot be reached.
 using OnPublished = std::function<void()>;
 /// Publishes a committed cancellation to the nodes that must know of it before the user gets a
 /// response.
--- a/src/api/linearizable_read_queue.cpp
+++ b/src/api/linearizable_read_queue.cpp
@@ -51,8 +51,8 @@
     }
 }
 
-// Only the reported keys are known to have changed. A request with none of them is retried: its
-// list of terminal ancestors is empty, so resolve_ancestors() queues it again.
+// Only the reported keys are known to have changed. A request to which none of them applies
+// is retried: its list of terminal ancestors is empty, so resolve_ancestors() queues it again.
 void LinearizableReadQueue::handle_conflict(JobRequest request, const FailedKeys& failed) {
     if (failed.contains(kv::terminal_key(request.job))) {
         pipeline_.look_up(std::move(request), JobLookup::RecordKind::terminal_record);
--- a/src/api/request_limits.hpp
+++ b/src/api/request_limits.hpp
@@ -25,8 +25,8 @@
 /// Requests that have waited for longer are refused. A store that takes seconds to respond is still
 /// usable: users wait 2 s for the response to a poll and 5 s for the others.
 inline constexpr Millis kMaxRequestAge{1500};
-/// How often a request may be queued, or the commit of its cancellation retried, before it is
-/// refused.
+/// Number of times that a request may be queued, or that the commit of its cancellation may be
+/// retried, before the request is refused.
 inline constexpr int kMaxAttempts = 5;
 /// Limit for each of the read and submission queues.
 inline constexpr std::size_t kMaxQueuedRequests = 400;
--- a/src/api/submission_queue.cpp
+++ b/src/api/submission_queue.cpp
@@ -59,8 +59,8 @@
 }
 
 bool SubmissionQueue::fits(const Batch& batch, const JobRequest& request) const {
-    // Every submission is prepared so that it fits a transaction of its own, hence an empty batch
-    // accepts any.
+    // Every submission is prepared so that it fits a transaction of its own, so an empty batch
+    // accepts any submission.
     if (batch.writes.empty()) return true;
     const auto& submission = request.submission;
     return batch.preconditions.max_size_with(request) <= kv_client_.max_preconditions() &&
--- a/src/api/submission_records.cpp
+++ b/src/api/submission_records.cpp
@@ -70,8 +70,8 @@
     return PrepareResult::ready;
 }
 
-// Puts everything into the job record, if it fits and one transaction can have preconditions on all
-// ancestors. Returns whether it could.
+// Puts the job with all its dependencies into the job record if they fit and one transaction can
+// have preconditions on all ancestors. Returns whether this was possible.
 bool SubmissionRecordBuilder::prepare_single_record(Submission& submission) const {
     const auto& record = submission.record;
     auto packed = encode(record);
--- a/src/base/types.hpp
+++ b/src/base/types.hpp
@@ -12,7 +12,7 @@
 namespace dunebridge {
 
 /// Wraps a value in a distinct type, so that the compiler rejects, say, a job id in place of a
-/// machine name. `Tag` is never defined; it only tells the types apart.
+/// machine name. `Tag` is never defined; it only distinguishes the types.
 template <class Tag, class T>
 class StrongType {
   public:
--- a/src/config/tuning.hpp
+++ b/src/config/tuning.hpp
@@ -7,8 +7,8 @@
 
 namespace dunebridge::config {
 
-/// Parameters that operators may change. docs/measurements.md has the measurements behind the
-/// defaults.
+/// Parameters that operators may change. docs/measurements.md contains the measurements on which
+/// the defaults are based.
 struct Tuning {
     /// Jobs of at least this priority preempt best-effort jobs of lower priority.
     wire::Priority min_preempting_priority = wire::Priority::urgent;
--- a/src/controller/batch_order.cpp
+++ b/src/controller/batch_order.cpp
@@ -6,7 +6,7 @@
 namespace dunebridge::controller {
 
 namespace {
-// In the order in which they are handled.
+// Priorities of commands, in the order in which the commands are handled.
 enum class Priority : std::uint8_t {
     call_result,
     peer_request,
--- a/src/controller/cancellation_broadcast.hpp
+++ b/src/controller/cancellation_broadcast.hpp
@@ -31,8 +31,8 @@
     /// Records the cancellation and notifies the leader. Calls `on_completed` when the leader has
     /// responded or the request has failed or timed out, or at once if no other leader is known.
     /// The leader is notified before the user is answered, so that no task of the job starts after
-    /// the answer. If the leader does not respond, the time for which it may go on renewing leases
-    /// is bounded nevertheless (LeadershipGuard::may_renew_leases).
+    /// the answer. If the leader does not respond, the time for which it may continue to renew
+    /// leases is bounded nevertheless (LeadershipGuard::may_renew_leases).
     void notify_leader(const JobId& job, std::function<void()> on_completed);
     /// Applies all cancellations in the log to the cluster state. To be called when the cluster
     /// state has just been loaded.
--- a/src/controller/heartbeat_relay.cpp
+++ b/src/controller/heartbeat_relay.cpp
@@ -9,7 +9,7 @@
 namespace {
 constexpr Millis kPruneInterval{5000};
 // The heartbeats of a worker that comes back within this time of its first redirect are relayed.
-// Then it is redirected once more.
+// After that time the worker is redirected once more.
 constexpr Millis kRelayWindow{30000};
 constexpr Millis kRelayTimeout{2500};
 constexpr int kMisdirectedRequest = 421;
@@ -47,7 +47,7 @@
 }
 
 void HeartbeatRelay::redirect(RequestId id, const ControllerName& leader) {
-    if (election_.is_leader()) {  // is still loading the cluster state
+    if (election_.is_leader()) {  // this leader is still loading the cluster state
         context_.refuse(id, RefusalReason::leader_loading);
     } else if (leader.get().empty()) {
         context_.refuse(id, RefusalReason::no_leader);
--- a/src/controller/leadership_guard.cpp
+++ b/src/controller/leadership_guard.cpp
@@ -8,7 +8,8 @@
 // After this number of heartbeat intervals without a heartbeat from any worker, the workers are
 // assumed not to reach the leader.
 constexpr int kMaxMissedHeartbeats = 5;
-// For how long the leader then does not campaign, so that another controller can lead.
+// A leader that resigns for this reason does not campaign for this time, so that another controller
+// can lead.
 constexpr Millis kResignCooldown{20000};
 // How long a leader may be isolated, in percent of a worker's lease.
 constexpr int kIsolationLimitPercent = 35;
--- a/src/controller/leadership_guard.hpp
+++ b/src/controller/leadership_guard.hpp
@@ -36,7 +36,7 @@
     void resign_if_no_worker_heartbeats();
     /// Returns whether this leader may renew worker leases, given that it has read all terminal
     /// records that were committed before `terminal_records_read_at` from the key-value store. Logs
-    /// an error if not.
+    /// an error if it may not renew them.
     bool may_renew_leases(Instant terminal_records_read_at);
 
   private:
--- a/src/coordination/cancellation_log.cpp
+++ b/src/coordination/cancellation_log.cpp
@@ -11,7 +11,7 @@
 
 CancellationLog::CancellationLog(sansio::Context& context, const config::Config& config)
     : context_(context), config_(config) {
-    segment_.incarnation = context.random() | 1u;  // never 0, which means that there is no log
+    segment_.incarnation = context.random() | 1u;  // never 0, because 0 means that there is no log
 }
 
 bool CancellationLog::append(const JobId& id) {
--- a/src/coordination/cancellation_log.hpp
+++ b/src/coordination/cancellation_log.hpp
@@ -53,7 +53,7 @@
     std::deque<Instant> appended_at_;  ///< When each job in the segment was appended.
     /// When each cancellation was first seen; used to ignore repeated ones. Kept for longer than
     /// the log entries, because peers drop theirs later: if an id were removed too early, the entry
-    /// of a peer would be appended again here, then again at the peer, and so on for ever.
+    /// of a peer would be appended again here, then again at the peer, and so on forever.
     std::map<JobId, Instant> first_seen_at_;
     Instant next_prune_at_{};
 };
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -47,7 +47,7 @@
 void Election::poll() {
     poll_leader_key();
     poll_campaign();
-    // No key is bound to the lease: it is not renewed any more and expires.
+    // No key is bound to the lease: it is no longer renewed and expires.
     if (!is_leader_ && !campaigning_ && !new_term_required_) lease_.abandon();
     lease_.renew_if_due();
 }
@@ -229,7 +229,7 @@
         case TransactionOutcome::conflict:
         case TransactionOutcome::unknown:
             // Either another controller's proposal has been applied or this one has. Reading the
-            // leader key tells which.
+            // leader key shows which.
             schedule_leader_key_read(context_.now());
             break;
         case TransactionOutcome::refused:
--- a/src/coordination/election.hpp
+++ b/src/coordination/election.hpp
@@ -29,7 +29,7 @@
     lease_expired,     ///< The lease of the leader key has expired.
     newer_term,        ///< A peer or a worker has reported a newer term.
     event_loop_stall,  ///< The process was stalled for so long that another may lead.
-    isolated,          ///< Neither the key-value store nor a peer has responded for long.
+    isolated,          ///< Neither the key-value store nor a peer has responded for a long time.
     resigned,          ///< It gave up the leadership for another controller.
     unknown_outcome    ///< The outcome of a transaction is unknown; a new term resolves it.
 };
@@ -49,8 +49,9 @@
     bool is_leader() const { return is_leader_; }
     /// The latest term in which this controller has been the leader; 0 if there is none.
     Term term() const { return term_; }
-    /// Number of times that this process has become the leader, including when it succeeded itself.
-    /// The result of an operation that was started in an earlier generation must be ignored.
+    /// Number of times that this process has become the leader, including when the previous leader
+    /// was this process itself. The result of an operation that was started in an earlier
+    /// generation must be ignored.
     std::uint64_t generation() const { return generation_; }
     /// Precondition that rejects the writes of every earlier leader, including those of this
     /// controller in its earlier terms. Every transaction on the cluster state must include it.
@@ -64,7 +65,7 @@
     /// Steps down and campaigns for a new term, in which this controller replaces its own leader
     /// key. To be called when the outcome of a transaction on the cluster state is unknown: the new
     /// term changes the revision of the leader key, so the transaction can no longer be applied if
-    /// it has not been, and reading the store again shows its outcome.
+    /// it has not been applied yet, and reading the store again shows its outcome.
     void require_new_term();
     /// Gives up the leadership and does not campaign during the cooldown, so that another
     /// controller can become the leader.
--- a/src/coordination/leader_lease.hpp
+++ b/src/coordination/leader_lease.hpp
@@ -17,7 +17,7 @@
 /// write, see Election.
 class LeaderLease {
   public:
-    /// Called once; the argument tells whether there is a lease now.
+    /// Called once; the argument states whether there is a lease now.
     using OnAcquired = std::function<void(bool)>;
     /// Called when an attempt to renew the lease has shown that it no longer exists.
     using OnExpired = std::function<void()>;
--- a/src/coordination/peer_heartbeat.hpp
+++ b/src/coordination/peer_heartbeat.hpp
@@ -33,7 +33,7 @@
     CancellationLogSegment cancellations;
     std::uint64_t format = 2;           ///< Newest record format that the sender supports.
     std::vector<JobProgress> progress;  ///< Of the leader's jobs; empty from others.
-    /// Jobs that, by the leader's judgement, fail on every machine. The field is left out of the
+    /// Jobs that, according to the leader, fail on every machine. The field is left out of the
     /// encoding if there are none.
     std::vector<JobId> faulty_jobs;
 };
--- a/src/coordination/peer_monitor.cpp
+++ b/src/coordination/peer_monitor.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr Millis kHeartbeatInterval{700};
 constexpr Millis kHeartbeatTimeout{1500};
-// For a heartbeat that is sent at once. It is short because a user waits for the result.
+// Timeout of a heartbeat that is sent immediately. It is short because a user waits for the result.
 constexpr Millis kImmediateTimeout{400};
 }  // namespace
 
--- a/src/coordination/peer_status.hpp
+++ b/src/coordination/peer_status.hpp
@@ -17,7 +17,7 @@
     /// count, because a response was certainly written after its request, while the age of a
     /// heartbeat received as a request is unknown. If the peer has been restarted, or there is a
     /// gap before the segment, the peer may have reported cancellations to its users that are no
-    /// longer in its log. These are only in the key-value store, so tracking starts anew at `now`.
+    /// longer in its log. These are only in the key-value store, so tracking restarts at `now`.
     void record_response(const CancellationLogSegment& segment, Instant requested_at, Instant now);
     /// Returns the latest moment for which all cancellations are known that the peer had reported
     /// to its users by then, given that this controller read all terminal records from the
--- a/src/kv/client.cpp
+++ b/src/kv/client.cpp
@@ -12,8 +12,8 @@
 using sansio::HttpResult;
 
 namespace {
-// How long after the end of its wait a watch counts as failed. It is short because watches report
-// cancellations and submissions: a watch whose response was lost must be repeated soon.
+// A watch counts as failed this long after the end of its wait. The time is short because watches
+// report cancellations and submissions: a watch whose response was lost must be repeated soon.
 constexpr Millis kWatchTimeoutMargin{2000};
 constexpr Millis kLeaseTimeout{2500};
 constexpr Millis kRenewalTimeout{1000};
--- a/src/kv/client.hpp
+++ b/src/kv/client.hpp
@@ -20,7 +20,7 @@
 /// Client of the key-value store. All requests are asynchronous: each callback is called exactly
 /// once, in the controller's event loop, when the response has arrived or the timeout has expired.
 /// The client retries only the pages of list() that the store refuses with status 429 (too many
-/// requests). It does not limit the request rate: each caller keeps to its share of this
+/// requests). It does not limit the request rate: each caller stays within its share of this
 /// controller's rate budget.
 class KvClient {
   public:
--- a/src/kv/connection.cpp
+++ b/src/kv/connection.cpp
@@ -11,7 +11,7 @@
 constexpr Millis kProbeIdleTime{800};
 constexpr Millis kProbeTimeout{700};
 // A small record that exists once a leader has been elected. Before that the store responds with
-// status 404, which shows just as well that it can be reached.
+// status 404, which also shows that it can be reached.
 constexpr const char* kProbeTarget = "/kv/term";
 // With this status the store reports that it cannot serve requests, so the response does not count
 // as usable.
--- a/src/kv/paged_list.cpp
+++ b/src/kv/paged_list.cpp
@@ -12,10 +12,10 @@
 namespace {
 constexpr Millis kPageTimeout{3000};
 constexpr int kTooManyRequests = 429;
-// A page that was refused with status 429 is requested again after a delay between one and two
-// times this one.
+// A page that was refused with status 429 is requested again after a delay between this value and
+// twice this value.
 constexpr Millis kRetryDelay{100};
-// Refused pages after which a listing fails.
+// Number of refused pages after which a listing fails.
 constexpr int kMaxThrottledResponses = 50;
 }  // namespace
 
--- a/src/kv/records.hpp
+++ b/src/kv/records.hpp
@@ -32,7 +32,7 @@
     bool operator==(const TerminalRecord&) const = default;
 };
 PackedRecord encode(const TerminalRecord& record);
-/// Decodes a terminal record. Any phase other than `done` is taken for `cancelled`; never throws.
+/// Decodes a terminal record. Any phase other than `done` is decoded as `cancelled`; never throws.
 TerminalRecord decode_terminal_record(wire::Value value);
 
 /// Record job/<id>: a job that is neither done nor cancelled.
--- a/src/provisioning/cloud_client.hpp
+++ b/src/provisioning/cloud_client.hpp
@@ -43,9 +43,9 @@
 
     CloudClient(sansio::Context& context, double requests_per_second);
 
-    /// Takes one request from the rate limit. If none is available, returns false and asks for a
-    /// wake of the event loop when one will be. Must be called before each request except
-    /// list_machine_types(), which the rate limit leaves room for.
+    /// Takes one request from the rate limit. If none is available, returns false and requests a
+    /// wake-up of the event loop for the time when one will be available. Must be called before
+    /// each request except list_machine_types(), for which the rate limit leaves room.
     bool try_acquire_request();
 
     /// Requests the machine types and their prices.
--- a/src/provisioning/provisioner.cpp
+++ b/src/provisioning/provisioner.cpp
@@ -85,8 +85,8 @@
 MachineCapacity Provisioner::capacity_of(const Machine& machine) const {
     const auto* type = machine_types_.find(machine.machine_type);
     const auto& worker = machine.worker;
-    // The cloud's list shows it as booted, but it has sent no heartbeat in this term: most likely
-    // it no longer exists.
+    // The cloud's list shows the machine as booted, but it has sent no heartbeat in this term: most
+    // likely it no longer exists.
     const bool lost =
         !worker.heartbeat_received && !machine.instance.starting && liveness_.is_late(machine);
     const bool idle = worker.heartbeat_received && machine.placements.empty();
--- a/src/provisioning/release_policy.cpp
+++ b/src/provisioning/release_policy.cpp
@@ -119,7 +119,8 @@
     if (liveness_.unresponsive_for(machine) > silence_limit()) {
         return ScaleInReason::replies_unacknowledged;
     }
-    // This controller's network has more likely failed than most machines at once.
+    // It is more likely that this controller's network has failed than that most machines have
+    // failed at once.
     const bool lease_long_expired = liveness_.is_silent(machine, config_.worker_lease * 2);
     if (most_machines_silent_ && !lease_long_expired) return std::nullopt;
     const auto limit = machine.placements.empty() ? config_.worker_lease : silence_limit();
--- a/src/provisioning/release_policy.hpp
+++ b/src/provisioning/release_policy.hpp
@@ -34,8 +34,8 @@
 /// Does not change the cluster state. Idle machines are selected by the scaling plan instead.
 ///
 /// A machine whose heartbeats stop may still run its tasks: neither missing heartbeats nor a row
-/// missing from the cloud's list proves that it is gone. Such a machine is released because a
-/// confirmed deletion does prove that the machine and its tasks no longer exist.
+/// missing from the cloud's list proves that it no longer exists. Such a machine is released
+/// because a confirmed deletion does prove that the machine and its tasks no longer exist.
 class ReleasePolicy {
   public:
     /// The objects passed by reference must outlive the policy.
--- a/src/provisioning/scale_out.cpp
+++ b/src/provisioning/scale_out.cpp
@@ -127,7 +127,7 @@
 
 void ScaleOut::add_machines(const std::string& idempotency_key, const ScaleOutResult& result) {
     auto hosts = result.hosts;
-    // The response to a repeated request may name machines that have been deleted since.
+    // The response to a repeated request may name machines that have been deleted since then.
     std::erase_if(hosts, [&](const auto& host) { return released_machines_.contains(host); });
     state_.apply_scale_out_response(idempotency_key, hosts);
     for (const auto& host : hosts) {
--- a/src/provisioning/scale_out_decision.cpp
+++ b/src/provisioning/scale_out_decision.cpp
@@ -10,9 +10,10 @@
 namespace {
 
 constexpr std::size_t kMaxMachinesPerPlan = 40;
-// On-demand machines cost a multiple of spot machines. To reach the target they are worth their
-// price only if the planned fleet would need longer than this multiple of the shortest boot time to
-// process the backlog, or if the demand with the most work does not allow spot machines.
+// On-demand machines cost a multiple of spot machines. Requesting them to reach the target is
+// worth their price only if the planned fleet would need longer than this multiple of the shortest
+// boot time to process the backlog, or if the demand with the most work does not allow spot
+// machines.
 constexpr double kOnDemandBacklogFactor = 1.5;
 
 double total_core_seconds(const Demand& demand) {
--- a/src/scheduler/machine_reservations.hpp
+++ b/src/scheduler/machine_reservations.hpp
@@ -29,8 +29,8 @@
           liveness_(liveness),
           availability_(availability) {}
 
-    /// Releases the reservations that have lasted too long and those of jobs that need none any
-    /// more. `starving_jobs` holds the sequence numbers of the jobs that still need one.
+    /// Releases the reservations that have lasted too long and those of jobs that no longer need
+    /// one. `starving_jobs` holds the sequence numbers of the jobs that still need one.
     void release_stale(const std::set<std::uint64_t>& starving_jobs);
     /// Reserves for the job the machine that is expected to have room first. Does nothing if a
     /// machine is already reserved for the job, if no machine is suitable, or if too many machines
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -67,7 +67,7 @@
     /// Decodes a message; nullopt if the bytes are not exactly one MessagePack value, or exceed the
     /// limits on depth and size.
     static std::optional<Document> parse(std::string_view bytes);
-    /// As parse(), but throws DecodeError instead of returning nullopt.
+    /// Like parse(), but throws DecodeError instead of returning nullopt.
     static Document parse_or_throw(std::string_view bytes);
     Value root() const { return Value(handle_.get()); }
 
@@ -128,7 +128,7 @@
         return *this;
     }
     /// Appends a value that is already encoded. `json_size` is the size of its JSON form;
-    /// json_size() is too low if it is left out.
+    /// json_size() is too low if this argument is left out.
     Writer& raw(std::string_view packed, std::size_t json_size = 0) {
         json_size_ += json_size;
         buffer_.write(packed.data(), packed.size());
--- a/src/wire/worker_messages.hpp
+++ b/src/wire/worker_messages.hpp
@@ -46,7 +46,7 @@
 WorkerHeartbeat decode_worker_heartbeat(Value body);
 std::string encode(const WorkerHeartbeat& heartbeat);
 
-/// What a worker is to do with a task. `clear` makes it discard the status of a task that has
+/// What a worker must do with a task. `clear` makes it discard the status of a task that has
 /// exited.
 enum class CommandKind : std::uint8_t { start, stop, clear };
 
